--- a/libs/routing/include/routing/attemptpolicy.h
+++ b/libs/routing/include/routing/attemptpolicy.h
@@ -11,28 +11,28 @@
 namespace magnolia::routing
 {
 
-// A dialled endpoint in the same region answers within a few milliseconds; a lost packet is sent again after about a
-// second, and by then another endpoint could have answered.
+// Connecting within a region takes a few milliseconds. A lost packet is retransmitted after about a second, by which time another endpoint could have
+// answered.
 constexpr Duration ConnectTimeout{400};
 
-/** One sending in progress, as far as it says whether the request is left there. */
+/** State of an attempt in progress that determines whether it is continued. */
 struct AttemptState {
     const Endpoint *endpoint = nullptr;
     BootTime sentAt{};
-    BootTime lastReceivedAt{}; ///< When something last came for the request; sentAt if nothing has.
+    BootTime lastReceivedAt{}; ///< When data was last received for the request; sentAt if never.
     bool isConnected = false;
-    bool hasAnswer = false; ///< The head of an answer has come.
+    bool hasAnswer = false; ///< The header of an answer was received.
 };
 
 /**
- * Whether sending a request is of use to its caller, and how long it is left where it is.
+ * Decides until when it is useful to dispatch a request, and when an attempt in progress should be abandoned for another endpoint.
  *
- * Decided from how long the caller stays and what is known of the service: how long its streams take to begin just now, which endpoints speak,
- * and whether others went on without this request. Refers to its options, which outlive it. Made for one decision.
+ * The decision is based on the caller's deadlines and on the state of the service: the current latency of first events, which endpoints are responsive,
+ * and whether other requests progressed while this one did not. Keeps references to its options, which must outlive it. Created for one decision.
  *
  * @code
- * const SendingOutlook outlook({.bounds = bounds, .route = route, .endpoints = table, .service = "s"});
- * if (now >= outlook.latestSending(now)) { rejectAtOnce(); }
+ * const AttemptPolicy policy({.deadlines = deadlines, .route = route, .endpoints = table, .service = "s"});
+ * if (now >= policy.latestUsefulDispatch(now)) { rejectAtOnce(); }
  * @endcode
  */
 class AttemptPolicy
@@ -43,21 +43,21 @@
         const Route &route;
         const EndpointTable &endpoints;
         std::string_view service;
-        bool hasLivenessChecks = true; ///< Endpoints out of reach are found by asking them.
+        bool hasLivenessChecks = true; ///< Unresponsive endpoints are detected by liveness checks.
     };
 
     explicit AttemptPolicy(const Options &options) : options_(options) {}
 
-    /** @return until when a sending can bring the caller something before it leaves. */
+    /** @return the latest time at which a dispatch can still produce an event or answer before the caller's deadline. */
     BootTime latestUsefulDispatch(BootTime now) const;
 
-    /** @return until when the sending is left alone. */
+    /** @return when the attempt may be abandoned in favour of another endpoint. */
     BootTime attemptExpiresAt(const AttemptState &state, BootTime now) const;
 
     /**
-     * A request for which nothing comes for long either waits with all others, and would wait anew elsewhere, or it alone is stuck.
+     * Tells a stuck request from one that is delayed like all others and would be delayed again at another endpoint.
      *
-     * @return true if others went on without it.
+     * @return true if other requests progressed while this one did not, or if that cannot be determined.
      */
     bool isOvertaken(const AttemptState &state) const;
 
--- a/libs/routing/include/routing/callerdeadlines.h
+++ b/libs/routing/include/routing/callerdeadlines.h
@@ -10,44 +10,44 @@
 {
 
 /**
- * Until when an answer still finds the caller of one request.
+ * Computes the times by which the caller of one request must be sent its answer and the next event.
  *
- * A caller leaves at the deadline that it states, at the latest when its route's timeout is over, and leaves a stream also after a gap without an
- * event, be it the first: two seconds, or some times the route's objectives. Stated deadline and gap hold back a margin, so that an answer sent then still
- * arrives. A value type, as long-lived as its request.
+ * A caller disconnects at its own timeout or at its route's timeout, whichever is earlier. It also disconnects from a stream after a gap without an
+ * event, including the first one: two seconds, or a multiple of the route's objectives if that is longer. A margin is subtracted from the caller's
+ * timeout and from the gap, so that an answer sent at the deadline still arrives. A value type that lives as long as its request.
  *
  * @code
- * CallerBounds bounds({.receivedAt = now, .stated = Duration(8000)});
- * bounds.takeRoute(route);
- * if (now >= bounds.nextEventDue()) { endWithFinalAnswer(); }
+ * CallerDeadlines deadlines({.receivedAt = now, .callerTimeout = Duration(8000)});
+ * deadlines.applyRoute(route);
+ * if (now >= deadlines.nextEventDeadline()) { endWithFinalAnswer(); }
  * @endcode
  */
 class CallerDeadlines
 {
 public:
     struct Options {
-        BootTime receivedAt{}; ///< When the request's first byte came.
-        std::optional<Duration> callerTimeout{}; ///< By the caller, from then on.
+        BootTime receivedAt{}; ///< When the first byte of the request was received.
+        std::optional<Duration> callerTimeout{}; ///< Sent by the caller; counts from receivedAt.
     };
 
     explicit CallerDeadlines(const Options &options);
 
-    /** The request's route is known: its timeout holds, and the gap of its streams. */
+    /** Applies the timeout of the request's route and, for a stream, the maximum gap between events. */
     void applyRoute(const Route &route);
 
-    /** An event was sent to the caller: its gap begins anew. */
+    /** Restarts the gap, because the caller was sent an event. */
     void onEventSent(BootTime now);
 
-    /** The whole answer has to be sent by then. */
+    /** @return when the complete answer must have been sent. */
     BootTime deadline() const
     {
         return deadline_;
     }
 
-    /** The next event, or whatever else is the answer, has to be sent by then; the deadline if that is sooner. */
+    /** @return when the next event, or an answer that is no stream, must have been sent; never later than deadline(). */
     BootTime nextEventDeadline() const;
 
-    /** What was stated, or else the usual time. */
+    /** @return the caller's timeout, or the default if it sent none. */
     Duration timeLimit() const
     {
         return timeLimit_;
@@ -57,8 +57,8 @@
     Options options_;
     Duration timeLimit_;
     BootTime deadline_;
-    std::optional<Duration> gap_; ///< Of a stream.
-    BootTime gapBegan_;
+    std::optional<Duration> maxGap_; ///< Maximum time without an event; set for streams only.
+    BootTime gapStart_;
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/concurrencylimit.h
+++ b/libs/routing/include/routing/concurrencylimit.h
@@ -12,46 +12,45 @@
 {
 
 /**
- * How many streams of one service this instance may have in progress, so that their events come in time.
+ * Adaptive limit on the streams of one service that this instance may have in progress, so that their events meet the pause objective.
  *
- * Model engines answer all requests side by side, and each further one makes every pass longer. Beyond a point all streams
- * pause for longer than their route allows: then all are late, where fewer would all be in time. Where that point is depends on
- * which experts are asked for, so it is found from what is seen: a pause that is too long lowers the limit, and it grows again
- * by a part each second. Each instance does so for itself; those of a service see the same pauses, since the engines of a
- * group make their passes together. By the engines' published step model it is judged how many streams would have had the
- * pass in time: if that is less than half of the engines' places, the pause has another cause (demand that has just moved, a
- * rank that is gone or held), fewer streams would not help, and nobody is refused for it. Pure. Not thread-safe.
+ * Model engines process all requests in one batch, and each additional request makes every pass longer. Above a certain load all streams exceed the
+ * pause objective of their route, whereas fewer streams would all meet it. That load depends on which experts the requests use, so it is found by
+ * feedback: a pause that is too long lowers the limit, and the limit grows by a fraction each second. Each instance adapts its limit independently;
+ * all instances observe the same pauses, because the engines of a group run their passes together. The engines' published step model gives the
+ * utilisation at which the pass would have met the objective. If that is less than half of the engines' slots, load is not the cause (demand has just
+ * shifted, or a rank is down or held), fewer streams would not help, and the limit stays. No I/O, and time is passed in. Not thread-safe.
  *
  * @code
- * limit.paused({.pause = gap, .objective = route.pauseObjective, .inProgress = inProgress}, steps, now);
- * if (!limit.hasRoom(inProgress, now)) { wait(); }
+ * limit.onPause({.pause = gap, .objective = route.pauseObjective, .inProgress = inProgress}, steps, now);
+ * if (!limit.canAdmit(inProgress, now)) { enqueue(); }
  * @endcode
  */
 class ConcurrencyLimit
 {
 public:
     struct Options {
-        double leastLeft = 0.85; ///< Part of what is in progress below which one pause does not bring the limit.
-        Duration decreaseInterval{600}; ///< One pass is seen by many streams, and its follow-up takes some more.
-        double growthPerSecond = 0.025; ///< Part by which the limit grows.
-        double leastUse = 0.5; ///< Part of the endpoints' places; a pause that would need fewer in use is not for load.
-        Duration useHalfLife{500}; ///< Age at which an endpoint's report counts half.
-        double least = 4; ///< Streams that are always allowed.
+        double minDecreaseFactor = 0.85; ///< Lowest fraction of the streams in progress to which one pause can reduce the limit.
+        Duration decreaseInterval{600}; ///< Many streams observe the same pass, and the effect of a decrease takes some passes more.
+        double growthPerSecond = 0.025; ///< Growth of the limit as a fraction of itself.
+        double minUtilisation = 0.5; ///< Fraction of the endpoints' slots; a pause that only a lower utilisation would avoid is not caused by load.
+        Duration reportHalfLife{500}; ///< Age at which a load report has half its weight.
+        double minLimit = 4; ///< Streams that are always admitted.
     };
 
     explicit ConcurrencyLimit(Options options) : options_(options) {}
 
-    /** What an endpoint of the service said of its load. */
+    /** Adds a load report of one of the service's endpoints to the utilisation estimate. */
     void onLoadReport(const LoadReport &report, BootTime now);
 
-    /** A pause between two events of a stream. */
+    /** The time between two events of a stream. */
     struct Pause {
         BootClock::duration pause{0};
-        Duration objective{0}; ///< 0: none, and it says nothing.
-        std::size_t inProgress = 0; ///< Streams of this instance.
+        Duration objective{0}; ///< 0: the route has none, and the pause is ignored.
+        std::size_t inProgress = 0; ///< Streams that this instance has in progress for the service.
     };
 
-    /** @param steps of the service's engines. @return true if the limit fell for it. */
+    /** @param steps step model of the service's engines. @return true if the pause lowered the limit. */
     bool onPause(const Pause &pause, const StepModel &steps, BootTime now);
 
     bool canAdmit(std::size_t inProgress, BootTime now) const
@@ -59,7 +58,7 @@
         return !limit_ || static_cast<double>(inProgress) < limitAt(now);
     }
 
-    /** @return the limit; nothing if there is none. */
+    /** @return the current limit; nothing if none is set. */
     std::optional<double> limit(BootTime now) const
     {
         return limit_ ? std::optional(limitAt(now)) : std::nullopt;
@@ -67,14 +66,14 @@
 
 private:
     double limitAt(BootTime now) const;
-    double use() const;
+    double utilisation() const;
 
     Options options_;
-    std::optional<double> limit_; ///< As of loweredAt_.
-    BootTime loweredAt_;
-    double use_ = 0; ///< Part of the places in use, of the latest reports.
-    double useWeight_ = 0;
-    BootTime useAt_;
+    std::optional<double> limit_; ///< As of decreasedAt_.
+    BootTime decreasedAt_;
+    double weightedUtilisation_ = 0; ///< Weighted sum of the fractions of slots in use, from the latest reports.
+    double utilisationWeight_ = 0;
+    BootTime utilisationAt_;
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/endpointroster.h
+++ b/libs/routing/include/routing/endpointroster.h
@@ -15,79 +15,79 @@
 namespace magnolia::routing
 {
 
-/** An endpoint whose entry has gone from the list. */
+/** The scheduled removal of an endpoint whose entry is missing from the list. */
 struct PendingRemoval {
     std::string id;
-    BootTime removeAt; ///< When it counts as gone.
+    BootTime removeAt; ///< When the endpoint is removed, at the earliest.
 };
 
 /**
- * Decides which endpoints of the platform's list count as there.
+ * Decides when endpoints that are missing from the platform's list are removed.
  *
- * An endpoint whose entry goes is gone at once, unless the list itself may have been away for so long that entries lapsed
- * since nobody could renew them: the endpoints that live come back soon after its return, and taking those for gone would
- * empty whole services each time. Whether it may have been away is judged by when it was last known to serve, by this
- * process's own word or by a peer's: an instance that alone has lost its way to the list must not take that for the list's
- * outage. Pure: time comes in, and the task that owns it asks for due removals. Not thread-safe.
+ * An endpoint whose entry disappears is removed at once, unless the list may have been unavailable for so long that entries expired because they could
+ * not be renewed. Live endpoints register again soon after such an outage, and removing them meanwhile would empty whole services each time. Whether
+ * there may have been an outage follows from when the list was last known to be available, as seen by this process or by a peer: an instance that
+ * alone has lost its connection to the list must not mistake that for an outage. No I/O and no timers: time is passed in, and the owning task polls
+ * for due removals. Not thread-safe.
  *
  * @code
  * roster.put(record);
- * roster.confirmed(asOf, now); // after all that an answer told
- * for (const std::string &id : roster.takeDue(now)) { table.remove(id); }
+ * roster.onListConfirmed(asOf, now); // after the changes of one response were applied
+ * for (const std::string &id : roster.takeDueRemovals(now)) { table.remove(id); }
  * @endcode
  */
 class EndpointRoster
 {
 public:
     struct Options {
-        Duration renewalInterval{1200}; ///< Between two renewals of an entry by its endpoint; as the platform states it.
-        Duration recoveryTime{2200}; ///< After the list's return; an entry still missing then is gone. Stated as "about two seconds".
+        Duration renewalInterval{1200}; ///< Interval at which endpoints renew their entries, as defined by the platform.
+        Duration recoveryTime{2200}; ///< After an outage of the list, for endpoints to register again. The platform documents "about two seconds".
     };
 
     explicit EndpointRoster(Options options) : options_(options) {}
 
     void put(const EndpointRecord &record);
 
-    /** @return nothing if its entry was known to have gone. */
+    /** An entry was removed from the list. @return the scheduled removal; nothing if the endpoint is unknown or already scheduled. */
     std::optional<PendingRemoval> onEntryRemoved(std::string_view id, BootTime now);
 
-    /** All ids of a full read: the others are removed. @return those whose entries were there before. */
+    /** The list was read in full. @param ids of all its entries; removals of other endpoints are scheduled. @return the newly scheduled removals. */
     std::vector<PendingRemoval> onFullList(std::span<const std::string> ids, BootTime now);
 
-    /** The list has gone back to an older state: what endpoints wrote since comes again. */
+    /** The list was reset to an older state: endpoints that registered since then will register again. */
     void onListRolledBack(BootTime now)
     {
-        comeBackUntil_ = now + options_.recoveryTime;
+        recoveryEndsAt_ = now + options_.recoveryTime;
     }
 
-    /** All that was told is the list as of then, by the list's own answer or a peer's. */
+    /** The roster is known to match the list as of that time, from a response of the list or from a peer. */
     void onListConfirmed(BootTime asOf, BootTime now);
 
-    /** @return ids that are gone by now; each once. None while the list may be away: its return decides. */
+    /** Removes the endpoints whose removal is due. @return their ids; none while the list may be unavailable, as they may register again. */
     std::vector<std::string> takeDueRemovals(BootTime now);
 
-    /** @return when the next removal is due, if the list is heard of until then; nothing if none is. */
+    /** @return when the next removal is due, provided that the list is available until then; nothing if none is scheduled. */
     std::optional<BootTime> nextRemovalAt() const;
 
-    /** @return what a peer is told: the endpoints on the list, and apart from them those that are only kept. */
+    /** @return the snapshot for peers: the endpoints on the list, and separately those that are only retained. */
     EndpointSnapshot snapshot(std::uint64_t version, BootTime now) const;
 
-    /** A peer keeps it for so long though its entry has gone: so does this one, unless it has given it up or never knew it. */
-    std::optional<PendingRemoval> onRetainedByPeer(std::string_view id, Duration left, BootTime now);
+    /** A peer retains an endpoint that is missing from the list. Schedules its removal likewise, unless it is unknown here or already scheduled. */
+    std::optional<PendingRemoval> onRetainedByPeer(std::string_view id, Duration timeLeft, BootTime now);
 
 private:
     struct Entry {
         EndpointRecord record;
-        std::optional<BootTime> removeAt; ///< Set if it is to be removed.
+        std::optional<BootTime> removeAt; ///< Set if the removal is scheduled.
     };
 
-    bool mayHaveBeenAway(BootTime now) const;
-    void heard(BootTime now);
+    bool mayHaveBeenUnavailable(BootTime now) const;
+    void onListResponse(BootTime now);
 
     Options options_;
     std::map<std::string, Entry, std::less<>> entries_; ///< By id.
-    std::optional<BootTime> knownAsOf_; ///< When the list last served, as far as is known.
-    BootTime comeBackUntil_; ///< Until then entries may still come back that lapsed while the list was away.
+    std::optional<BootTime> lastServingAt_; ///< When the list was last known to be available.
+    BootTime recoveryEndsAt_; ///< End of the time in which endpoints may register again after an outage of the list.
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/endpointsnapshot.h
+++ b/libs/routing/include/routing/endpointsnapshot.h
@@ -12,23 +12,23 @@
 namespace magnolia::routing
 {
 
-/** An endpoint whose entry has gone from the list, and which may still come back. */
+/** An endpoint whose entry is missing from the list, but which is retained for a while because it may register again. */
 struct RetainedEndpoint {
     EndpointRecord record;
-    Duration timeLeft; ///< Until it counts as gone.
+    Duration timeLeft; ///< Until it is removed.
 };
 
-/** The platform's list of endpoints as of one version of its store, as entries pass it on to one another. */
+/** The platform's list of endpoints at one version of its store, in the form that entries send to their peers. */
 struct EndpointSnapshot {
-    std::uint64_t version = 0; ///< Of the store when its last change was told; 0: none was.
+    std::uint64_t version = 0; ///< Version of the store at the last known change; 0: no change is known.
     std::vector<EndpointRecord> endpoints;
-    std::vector<RetainedEndpoint> retained{}; ///< By whoever passes the list on; not among the others.
+    std::vector<RetainedEndpoint> retained{}; ///< Endpoints retained by the sending instance; not contained in endpoints.
 };
 
-/** @return CBOR; some 70 bytes for each endpoint. */
-std::string encodeSnapshot(const EndpointSnapshot &listing);
+/** @return the snapshot as CBOR, about 70 bytes for each endpoint. */
+std::string encodeSnapshot(const EndpointSnapshot &snapshot);
 
-/** @return BadInput if it can't be read. */
+/** @return BadInput if the bytes are not a valid snapshot. */
 Result<EndpointSnapshot> decodeSnapshot(std::string_view bytes);
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/endpointtable.h
+++ b/libs/routing/include/routing/endpointtable.h
@@ -19,53 +19,53 @@
 namespace magnolia::routing
 {
 
-/** What the platform's list says of an endpoint. */
+/** An endpoint's entry on the platform's list. */
 struct EndpointRecord {
-    std::string id; ///< Of this run of the endpoint; an address may be used again by another.
+    std::string id; ///< Identifies this endpoint; an address may later be reused by another.
     std::string service;
     std::string address; ///< "IP:PORT"
     std::string dataCentre;
-    std::uint32_t slots = 1; ///< Requests that it runs at once.
+    std::uint32_t slots = 1; ///< Requests that it runs concurrently.
     bool isLeaving = false;
-    std::uint64_t incarnation = 0; ///< Unix millisecond of its start; 0: not stated. A later one has nothing of an earlier.
+    std::uint64_t incarnation = 0; ///< Start time in Unix milliseconds; 0: unknown. A higher value is a new run, to which no state of earlier runs applies.
 
     bool operator==(const EndpointRecord &) const = default;
 };
 
-/** What an endpoint says of its load. */
+/** Load of an endpoint as reported by itself. */
 struct LoadReport {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t slots = 0;
 };
 
-/** An endpoint as this entry knows it. */
+/** An endpoint and what this entry knows about it. */
 struct Endpoint {
     EndpointRecord record;
-    bool isRemoved = false; ///< It left the list; whoever still holds it sends it nothing new.
-    std::uint32_t inFlight = 0; ///< Sent by this entry and not ended.
-    std::uint32_t unstartedStreams = 0; ///< Of these, streams whose answers have not begun.
-    std::uint32_t suspectRequests = 0; ///< Of these, requests under which endpoints ended.
+    bool isRemoved = false; ///< It was removed from the table; holders of the pointer must not dispatch to it.
+    std::uint32_t inFlight = 0; ///< Attempts of this entry in progress there.
+    std::uint32_t unstartedStreams = 0; ///< Streams among inFlight that had no first event yet.
+    std::uint32_t suspectRequests = 0; ///< Requests among inFlight for which there are crash reports.
     RateLimitShare limit;
     LoadReport load;
-    std::uint32_t inFlightAtReport = 0; ///< inFlight when that report came.
+    std::uint32_t inFlightAtReport = 0; ///< Value of inFlight when the load report was received.
     BootTime reportedAt;
-    std::uint32_t failures = 0; ///< In a row.
-    BootTime avoidUntil; ///< Taken before that only if there is no other.
-    std::uint32_t group = 0; ///< Endpoints that were seen to refuse for one another's sake; 0: none seen.
-    BootTime groupAvoidUntil; ///< Its group does not run; the epoch if it does as far as is known.
-    bool isSuspected = false; ///< Nothing came from it for too long, and it is being asked for a sign of life.
-    bool isUnresponsive = false; ///< It gave no sign of life when it was asked for one; taken only if there is no other.
-    BootTime lastStartedSentAt; ///< When the latest sent of the requests was sent whose answers have begun.
-    BootTime lastReceivedAt; ///< When something last came from it.
-    BootTime busySince; ///< When the first of the requests in progress there was sent.
+    std::uint32_t failures = 0; ///< Consecutive.
+    BootTime avoidUntil; ///< Until then it is chosen only if there is no other.
+    std::uint32_t group = 0; ///< Endpoints that reject requests because another of them is down share a group number; 0: not known to be in a group.
+    BootTime groupAvoidUntil; ///< Until then its group is avoided because it rejected a request; the epoch if the group is believed to be running.
+    bool isSuspected = false; ///< Nothing was received from it for too long, and a liveness check is in progress.
+    bool isUnresponsive = false; ///< The liveness check failed; it is chosen only if there is no other.
+    BootTime lastStartedSentAt; ///< Latest dispatch time among the requests whose answers have started.
+    BootTime lastReceivedAt; ///< When data was last received from it.
+    BootTime busySince; ///< When it last went from no requests in flight to one.
 
     bool acceptsRequests() const
     {
         return !record.isLeaving && !isRemoved;
     }
 
-    /** @return since when something from it has been waited for; only with a request in progress there. */
+    /** @return since when it has been silent while having work; meaningful only with a request in flight there. */
     BootTime silentSince() const
     {
         return std::max(lastReceivedAt, busySince);
@@ -74,26 +74,31 @@
 
 using EndpointPointer = std::shared_ptr<Endpoint>;
 
-/** How an attempt at an endpoint ended, as far as it tells of the endpoint. */
+/** What the result of an attempt indicates about the endpoint. */
 enum class AttemptOutcome : std::uint8_t {
-    Answered, ///< It does what it should.
-    Refused, ///< Without having run it: it is full, or of a broken group. No sign of sickness.
-    Failed, ///< An error of its own, a cut or spoilt answer, silence.
-    Unreachable, ///< No connection came to be.
+    Answered, ///< The endpoint is healthy.
+    Refused, ///< Rejected without execution, because the endpoint is full or its group is down; does not count as a failure.
+    Failed, ///< An error of the endpoint, a truncated or malformed answer, or no answer.
+    Unreachable, ///< No connection could be established.
 };
 
 /**
- * The endpoints that this entry knows, and the choice among them.
+ * The endpoints that this entry knows, with their state, and the load balancing among them.
  *
- * Chooses the one with the least expected load for each slot: the entry's own requests there, which are exact, plus what
- * others had there by its latest report, which counts less as it ages. An endpoint that failed is avoided for a time that
- * grows with each failure in a row, and is then tried by one request after the other; nothing is asked of it besides, as
- * health checks cost its slots. Engines of a group fail together: which they are is learnt from refusals that name another
- * endpoint as the cause, and a group that refused is tried by one request at a time until one is answered. Of
- * the requests under which an endpoint ended one is the cause; they go to different endpoints as far as there are, so that the
- * others' answers clear them. An endpoint out of reach is
- * the last choice, one that states a limit is taken only within it, and only so many streams are sent ahead of those that have begun. Lives as long as its
- * entry's task. Not thread-safe.
+ * Chooses the endpoint with the lowest expected load per slot. The expected load is the entry's own requests in flight, which are exact, plus the load
+ * of other entries from the endpoint's latest report, whose weight decays with age.
+ *
+ * - A failed endpoint is avoided for a backoff that doubles with each consecutive failure, and then gets requests again. There are no active health
+ *   checks for this, as they would occupy its slots.
+ * - Engines of a group fail together. Groups are learnt from rejections that name another endpoint as the cause. A group that rejected a request is
+ *   probed with one request at a time until one is answered.
+ * - When an endpoint crashes, only one of the requests that ran there is the cause. The suspects are sent to different endpoints if possible, so that
+ *   the answers to the innocent ones clear them.
+ * - An unresponsive endpoint is the last choice.
+ * - An endpoint that states a rate limit is chosen only within this entry's share of it.
+ * - The number of streams per endpoint that wait for their first event is bounded.
+ *
+ * Lives as long as its entry's task. Not thread-safe.
  *
  * @code
  * table.put(record);
@@ -104,117 +109,118 @@
 {
 public:
     struct Options {
-        std::string dataCentre{}; ///< This entry's; a nearer endpoint is taken among equals.
+        std::string dataCentre{}; ///< This entry's data centre; endpoints in it are preferred at equal load.
     };
 
     struct ChoiceRequest {
         std::string_view service;
-        std::span<const std::string> excluded{}; ///< Ids not to be taken again.
-        bool isSuspect = false; ///< Endpoints ended under it.
+        std::span<const std::string> excluded{}; ///< Ids of endpoints that must not be chosen.
+        bool isSuspect = false; ///< There are crash reports for the request.
     };
 
     explicit EndpointTable(Options options);
 
-    /** @param instances entries that send to the same endpoints, this one included. */
+    /** @param instances number of entries that use the same endpoints, including this one. */
     void setInstances(std::size_t instances)
     {
         instances_ = instances;
     }
 
     /**
-     * Adds an endpoint or replaces what is known of it. One that has started again under its id is another endpoint: load,
-     * failures and group of its earlier run say nothing of it. An entry of an earlier run than the known one is late, and left out.
+     * Adds an endpoint or updates its record. An endpoint that restarted under the same id starts with fresh state, since load, failures and group of
+     * its earlier run no longer apply. A record of an earlier run than the known one is outdated and ignored.
      */
     void put(const EndpointRecord &record);
     void remove(std::string_view id);
 
-    /** @return null if no endpoint of the service takes work now, or all have been tried. */
+    /** @return null if no endpoint of the service accepts requests now, or all of them are excluded. */
     EndpointPointer choose(const ChoiceRequest &request, BootTime now, Random &random) const;
 
-    /** It states what it takes from all entries together; nothing: no limit. @return true if that is news. */
+    /** Sets the endpoint's rate limit for all entries together. @param perSecond nothing: no limit. @return true if the limit changed. */
     bool updateRateLimit(Endpoint &endpoint, std::optional<double> perSecond, BootTime now, Random &random) const;
 
     EndpointPointer find(std::string_view id) const;
 
-    /** All endpoints of a service that are known, in no order. */
+    /** @return all known endpoints of a service, in no particular order. */
     std::span<const EndpointPointer> endpointsOf(std::string_view service) const;
     std::size_t size() const
     {
         return byId_.size();
     }
 
-    /** An endpoint refused a request since another of its group fails: the whole group does. */
+    /** An endpoint rejected a request because a peer of its group is down. Marks the whole group as avoided. */
     void onRefusedForPeer(Endpoint &endpoint, std::string_view peerAddress, BootTime now);
 
-    /** A request is sent there; if its group is in doubt, the others wait for what becomes of this one. */
+    /** A request is dispatched to the endpoint. If its group is being avoided, this request is the probe, and the avoidance is extended for all others. */
     void onDispatch(Endpoint &endpoint, BootTime now, Random &random);
 
-    /** It answered a request, so its group runs. @return true if that was in doubt. */
+    /** The endpoint answered a request, so its group is running. @return true if the group was avoided until now. */
     bool onGroupAnswer(Endpoint &endpoint);
 
     /**
-     * Whether a stream that is let in now begins without waiting behind another. An endpoint that is avoided counts only if all are.
+     * Whether an endpoint can take another stream without exceeding its share of streams without a first event. Avoided endpoints count only if no
+     * other endpoint is merely saturated.
      *
-     * @return true also if no endpoint takes work: then there is nothing to wait for.
+     * @return true also if no endpoint accepts requests, since waiting would not help then.
      */
     bool canAdmitStream(std::string_view service, BootTime now, Random &random) const;
 
-    /** Others of its service were heard well after it. Only with a request in progress there. */
+    /** Whether data from other endpoints of its service arrived well after the latest data from it. Meaningful only with a request in flight there. */
     bool hasFallenBehind(const Endpoint &endpoint) const;
 
-    /** Something came from it. */
+    /** Data was received from the endpoint. */
     void onDataReceived(Endpoint &endpoint, BootTime now);
 
-    /** @return when something last came from any endpoint of the service; the epoch if nothing has. */
+    /** @return when data was last received from any endpoint of the service; the epoch if never. */
     BootTime serviceLastReceivedAt(std::string_view service) const;
 
-    /** The answer to a request has begun. @param sentAt when that was sent. */
+    /** The answer to a request has started. @param sentAt when the request was dispatched. */
     void onAnswerStarted(Endpoint &endpoint, BootTime sentAt);
 
-    /** @return when the latest sent of the requests to the service was sent whose answers have begun; the epoch if none has. */
+    /** @return the latest dispatch time among the service's requests whose answers have started; the epoch if there are none. */
     BootTime serviceLastStartedSentAt(std::string_view service) const;
 
-    /** A stream of the service had its first event so long after it was sent. */
-    void onStreamStarted(std::string_view service, BootClock::duration took, BootTime now);
+    /** A stream of the service had its first event. @param latency time since its dispatch. */
+    void onStreamStarted(std::string_view service, BootClock::duration latency, BootTime now);
 
-    /** @return the shortest of those times lately; zero if nothing began. */
+    /** @return the minimum recent latency of first events; zero if no stream started recently. */
     BootClock::duration shortestFirstEventTime(std::string_view service, BootTime now) const;
 
     static void onLoadReport(Endpoint &endpoint, const LoadReport &load, BootTime now);
-    static void onAttemptEnded(Endpoint &endpoint, AttemptOutcome sign, BootTime now);
+    static void onAttemptEnded(Endpoint &endpoint, AttemptOutcome outcome, BootTime now);
 
-    /** @return requests expected there now. */
+    /** @return the number of requests expected at the endpoint now. */
     static double expectedLoad(const Endpoint &endpoint, BootTime now);
 
 private:
-    /** In this order: one that is taken with more of it is taken only if there is no other. */
-    enum class Reluctance : std::uint8_t {
+    /** In increasing order; an endpoint is chosen only if there is none with a lower level. */
+    enum class AvoidanceLevel : std::uint8_t {
         None,
-        Behind, ///< It has enough streams to begin.
-        Avoided, ///< It failed lately, may be out of reach, or is kept apart from such requests.
-        OutOfReach,
+        Saturated, ///< It has this entry's share of streams without a first event.
+        Avoided, ///< It failed recently, its group is avoided, it is suspected, or the request and one in flight there both have crash reports.
+        Unresponsive,
     };
 
-    struct ServiceSigns {
+    struct ServiceActivity {
         BootTime lastReceivedAt;
         BootTime lastStartedSentAt;
-        FirstEventLatency beginTimes;
+        FirstEventLatency firstEventLatency;
     };
 
-    ServiceSigns &signsOf(std::string_view service);
-    bool hasShareUnbegun(const Endpoint &endpoint) const;
-    Reluctance reluctanceTo(const Endpoint &endpoint, const ChoiceRequest &request, BootTime now) const;
+    ServiceActivity &activityOf(std::string_view service);
+    bool isAtUnstartedLimit(const Endpoint &endpoint) const;
+    AvoidanceLevel avoidanceOf(const Endpoint &endpoint, const ChoiceRequest &request, BootTime now) const;
     double cost(const Endpoint &endpoint, BootTime now) const;
-    void joinGroups(std::string_view service, std::uint32_t one, std::uint32_t other);
-    void markGroup(Endpoint &endpoint, BootTime until);
+    void mergeGroups(std::string_view service, std::uint32_t one, std::uint32_t other);
+    void setGroupAvoidUntil(Endpoint &endpoint, BootTime until);
 
     Options options_;
     std::size_t instances_ = 1;
     TextMap<EndpointPointer> byId_;
     TextMap<std::vector<EndpointPointer>> byService_;
-    TextMap<ServiceSigns> signs_; ///< By service.
+    TextMap<ServiceActivity> activity_; ///< By service.
     std::uint32_t lastGroup_ = 0;
-    TextMap<std::uint32_t> groupsByFault_; ///< By the address that refusals named, which may have left the list.
+    TextMap<std::uint32_t> groupsByFaultyAddress_; ///< Key: address that rejections named as the cause; it need not be on the list.
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/fingerprint.h
+++ b/libs/routing/include/routing/fingerprint.h
@@ -7,7 +7,7 @@
 namespace magnolia::routing
 {
 
-/** What two attempts have in common if they ask the same; ids and times of an attempt are no part of it. */
+/** The parts of a request that identify it across attempts and retries; request ids and timestamps are not among them. */
 struct RequestIdentity {
     std::string_view method{};
     std::string_view host{};
@@ -16,7 +16,7 @@
     std::string_view body{};
 };
 
-/** @return 32 hexadecimal digits, the same at every instance; nobody can make another organisation's request look like theirs. */
+/** @return 32 hexadecimal digits, the same on every instance. A caller cannot make a request that has the fingerprint of another organisation's. */
 std::string fingerprintOf(const RequestIdentity &identity);
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/firsteventlatency.h
+++ b/libs/routing/include/routing/firsteventlatency.h
@@ -9,51 +9,51 @@
 {
 
 /**
- * How long streams of one service take to begin just now, from their sending to the first event: the shortest time seen lately.
+ * Tracks the minimum time from dispatch to first event over the recent streams of one service.
  *
- * The shortest, since it is used to tell what can't be served any more, whichever endpoint is chosen. What was seen is forgotten within one to two
- * windows, so that a service which is sent nothing for that reason is tried again. A value type.
+ * The minimum is used because it tells which requests cannot be served in time by any endpoint. Samples expire after one to two windows, so that a
+ * service that gets no requests because it was too slow is tried again. A value type.
  *
  * @code
- * times.began(now - sentAt, now);
- * const bool isVain = now + times.shortest(now) >= callerLeavesAt;
+ * latency.record(now - sentAt, now);
+ * const bool isTooLate = now + latency.shortest(now) >= callerDeadline;
  * @endcode
  */
 class FirstEventLatency
 {
 public:
-    void began(BootClock::duration took, BootTime now)
+    void record(BootClock::duration latency, BootTime now)
     {
         roll(now);
-        current_ = std::min(current_, took);
+        current_ = std::min(current_, latency);
     }
 
-    /** @return zero if nothing began lately. */
+    /** @return the minimum latency; zero if no stream started recently. */
     BootClock::duration shortest(BootTime now) const
     {
         FirstEventLatency asOfNow = *this;
         asOfNow.roll(now);
         const BootClock::duration seen = std::min(asOfNow.current_, asOfNow.previous_);
-        return seen == Nothing ? BootClock::duration(0) : seen;
+        return seen == NoSample ? BootClock::duration(0) : seen;
     }
 
 private:
     static constexpr Duration Window{500};
-    static constexpr BootClock::duration Nothing = BootClock::duration::max();
+    static constexpr BootClock::duration NoSample = BootClock::duration::max();
 
     void roll(BootTime now)
     {
-        if (now - windowBegan_ < Window) {
+        if (now - windowStart_ < Window) {
             return;
         }
-        previous_ = now - windowBegan_ < 2 * Window ? current_ : Nothing;
-        current_ = Nothing;
-        windowBegan_ = now;
+        previous_ = now - windowStart_ < 2 * Window ? current_ : NoSample;
+        current_ = NoSample;
+        windowStart_ = now;
     }
 
-    BootTime windowBegan_;
-    BootClock::duration current_ = Nothing; ///< Shortest in the window that began then.
-    BootClock::duration previous_ = Nothing; ///< Shortest in the one before.
+    BootTime windowStart_;
+    BootClock::duration current_ = NoSample; ///< Minimum of the window that started at windowStart_.
+    BootClock::duration previous_ = NoSample; ///< Minimum of the preceding window.
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/freshnessproof.h
+++ b/libs/routing/include/routing/freshnessproof.h
@@ -9,28 +9,28 @@
 {
 
 /**
- * Until when this process may trust that it knows the newest routing configuration.
+ * Tracks when the routing configuration of this process was last proven to be the newest.
  *
- * A key that was taken away has to be refused within a bounded time, also by an instance that cannot learn of it: one
- * that the store turns away, or that was suspended. So a key is trusted only while the last proof that the configuration
- * was the newest is younger than that bound. Ages are by the clock that counts suspension. A value type.
+ * A revoked API key must be rejected within a bounded time, even by an instance that cannot learn of the revocation because the store rejects its
+ * requests or the instance was suspended. Keys are therefore trusted only while the last proof of freshness is younger than that bound. Ages are
+ * measured with a clock that includes suspension. A value type.
  *
  * @code
- * proof.confirmed(askedAt);
- * if (!proof.isFresh(BootClock::now())) { refuse(); }
+ * proof.confirm(askedAt);
+ * if (!proof.isFresh(BootClock::now())) { reject(); }
  * @endcode
  */
 class FreshnessProof
 {
 public:
     struct Options {
-        Duration bound{5000}; ///< Within which a key that was taken away is refused; 0: keys are trusted without proof.
-        Duration margin{200}; ///< Kept free for the way from the check to the endpoint, and for clocks that differ in rate.
+        Duration bound{5000}; ///< Maximum time until a revoked key is rejected; 0: keys are trusted without proof.
+        Duration margin{200}; ///< Subtracted from the bound for the time from the check to the endpoint and for clock drift.
     };
 
     explicit FreshnessProof(const Options &options) : options_(options) {}
 
-    /** The configuration in force was the newest at that time. */
+    /** Records that the current configuration was the newest at that time. */
     void confirm(BootTime asOf)
     {
         provedAt_ = std::max(provedAt_, asOf);
--- a/libs/routing/include/routing/quarantine.h
+++ b/libs/routing/include/routing/quarantine.h
@@ -15,63 +15,62 @@
 namespace magnolia::routing
 {
 
-/** Word that an endpoint ended while it ran a request. */
+/** Report that an endpoint crashed while it ran a request. */
 struct CrashReport {
     std::string fingerprint{}; ///< Of the request, see fingerprintOf().
-    std::uint32_t ordinal = 1; ///< One more than the reports of it that were known when it was sent.
+    std::uint32_t ordinal = 1; ///< One more than the highest ordinal known for the request when it was dispatched.
     BootTime endedAt{};
 };
 
 /**
- * Keeps requests away from endpoints that would end under them, a "query of death".
+ * Quarantines requests that crash endpoints ("query of death").
  *
- * Whatever runs at an endpoint sees it end, so one end says little. What tells the cause from those that ran beside it: it
- * ends one endpoint after the other, and is never answered. Hence ends that were under way at the same time count once
- * (their reports have the same ordinal), and one whole answer clears a request of all reports; a request that was answered
- * lately is not reported at all, so that a common one stays clear while endpoints end for other reasons.
+ * A crash affects every request that runs at the endpoint, so a single one proves little. The cause differs from the others in that it crashes one
+ * endpoint after another and is never answered. Hence crashes of concurrent attempts count once (their reports have the same ordinal), and one
+ * complete answer clears a request of all its reports. A request that was answered recently is not reported at all, so that a common request is not
+ * suspected while endpoints crash for other reasons.
  *
- * A request with as many reports as the limit is quarantined from the last end on, for twice the time with each further
- * report. Instances tell one another of reports and answers; each judges by what it knows. Lives as long as its entry's
- * task. Not thread-safe.
+ * A request with as many reports as the limit is quarantined from its last crash on, and the time doubles with each further report. Instances share
+ * reports and answers; each decides on what it knows. Lives as long as its entry's task. Not thread-safe.
  *
  * @code
- * const std::uint32_t ordinal = quarantine.nextOrdinal(fingerprint); // before it is sent
- * if (quarantine.report({.fingerprint = fingerprint, .ordinal = ordinal, .endedAt = now}, now)) { tellPeers(); }
- * if (const auto left = quarantine.timeLeft(fingerprint, now)) { refuse(*left); }
+ * const std::uint32_t ordinal = quarantine.nextOrdinal(fingerprint); // before the dispatch
+ * if (quarantine.addReport({.fingerprint = fingerprint, .ordinal = ordinal, .endedAt = now}, now)) { shareReport(); }
+ * if (const auto left = quarantine.timeLeft(fingerprint, now)) { reject(*left); }
  * @endcode
  */
 class Quarantine
 {
 public:
     struct Options {
-        std::size_t limit = 2; ///< Reports that quarantine a request.
-        Duration time{600000}; ///< Of the first quarantine; reports below the limit are forgotten after it.
-        Duration longestTime{86400000};
-        Duration answerTime{60000}; ///< A request that was answered within it is not reported.
-        std::size_t mostAnswered = 20000; ///< Requests remembered as answered, twice over.
-        std::size_t mostReported = 4000; ///< Requests with reports; the ones reported longest ago make room.
+        std::size_t limit = 2; ///< Number of reports at which a request is quarantined.
+        Duration time{600000}; ///< Duration of the first quarantine; reports of requests below the limit expire after it.
+        Duration maxTime{86400000};
+        Duration answerTime{60000}; ///< A request that was answered within this time is not reported.
+        std::size_t maxAnswered = 20000; ///< Requests remembered as answered, in each of two generations.
+        std::size_t maxReported = 4000; ///< Requests with reports; the one with the oldest last crash is evicted.
     };
 
     explicit Quarantine(const Options &options);
 
-    /** @return what the next sending of that request is reported with if its endpoint ends. */
+    /** @return the ordinal for a report about the next attempt of the request. */
     std::uint32_t nextOrdinal(std::string_view fingerprint) const;
 
-    /** @return false if it changes nothing: it is known or too old, or the request was answered lately. */
+    /** @return false if nothing changed, because the report is known or too old, or the request was answered recently. */
     bool addReport(const CrashReport &report, BootTime now);
 
-    /** A peer cleared the request of that report. */
+    /** Removes a report that a peer has withdrawn. */
     void withdraw(std::string_view fingerprint, std::uint32_t ordinal);
 
-    /** An endpoint ran the request to its end. @return ordinals of the reports that this clears it of. */
+    /** The request was answered completely, which clears its reports. @return ordinals of the cleared reports. */
     std::vector<std::uint32_t> onAnswered(std::string_view fingerprint, BootTime now);
 
     bool wasAnsweredRecently(std::string_view fingerprint) const;
 
-    /** @return for how long the request is not to be sent to any endpoint; nothing if it may. */
+    /** @return the remaining quarantine of the request; nothing if it may be dispatched. */
     std::optional<Duration> timeLeft(std::string_view fingerprint, BootTime now) const;
 
-    std::size_t size() const ///< Requests with reports.
+    std::size_t size() const ///< @return the number of requests with reports.
     {
         return reported_.size();
     }
@@ -82,15 +81,15 @@
         BootTime lastEnd;
     };
 
-    BootClock::duration timeOf(const Reports &reports) const;
-    BootTime keptUntil(const Reports &reports) const;
-    void makeRoom(BootTime now);
+    BootClock::duration quarantineTime(const Reports &reports) const;
+    BootTime retainedUntil(const Reports &reports) const;
+    void evictIfFull(BootTime now);
 
     Options options_;
     TextMap<Reports> reported_; ///< By fingerprint.
-    TextMap<bool> answered_; ///< Fingerprints, since the last change of generations; the value says nothing.
-    TextMap<bool> answeredBefore_; ///< Of the generation before.
-    BootTime generationBegan_;
+    TextMap<bool> answered_; ///< Fingerprints of the current generation; used as a set, the value is ignored.
+    TextMap<bool> previousAnswered_; ///< Fingerprints of the preceding generation.
+    BootTime generationStart_;
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/ratelimitshare.h
+++ b/libs/routing/include/routing/ratelimitshare.h
@@ -10,43 +10,43 @@
 {
 
 /**
- * One entry's share of the requests that an endpoint takes from all entries together, by the endpoint's own word.
+ * One entry's share of the rate limit that an endpoint states for all entries together.
  *
- * Entries need no word of one another for it: each may send one request at moments that it draws at random, so that those of all entries together
- * are a Poisson process of half the stated rate, however many they are. A moment that passes unused is lost; saved up shares would come all
- * at once. A new statement replaces the one before; an endpoint that runs anew has made none. Not thread-safe.
+ * The entries share the limit without communication. Each may send one request at times that it draws at random, so that the requests of all entries
+ * form a Poisson process with half the stated rate, whatever their number. A send time that passes unused is lost, since saved up shares would be used
+ * in a burst. A newly stated limit replaces the previous one; an endpoint that restarted has none. Not thread-safe.
  *
  * @code
- * limit.state(perSecond, instances, now, random); // an answer named it
- * if (limit.mayUse(instances, now, random)) { limit.use(instances, now, random); send(); }
+ * limit.update(perSecond, instances, now, random); // stated in an answer
+ * if (limit.canSend(instances, now, random)) { limit.consume(instances, now, random); send(); }
  * @endcode
  */
 class RateLimitShare
 {
 public:
-    /** @param perSecond requests from all entries together; 0 or more. @return true if it differs from what was known. */
-    bool state(double perSecond, std::size_t instances, BootTime now, Random &random);
+    /** Sets the limit. @param perSecond requests of all entries together; 0 or more. @return true if the limit changed. */
+    bool update(double perSecond, std::size_t instances, BootTime now, Random &random);
 
-    /** An answer named none. @return true if one was known. */
-    bool lift();
+    /** Removes the limit, because an answer stated none. @return true if there was one. */
+    bool clear();
 
     bool isLimited() const
     {
-        return isStated_;
+        return isLimited_;
     }
 
-    /** @return false if no request may be sent now. */
-    bool mayUse(std::size_t instances, BootTime now, Random &random);
+    /** @return true if a request may be sent now. Draws a new send time if the last one passed unused. */
+    bool canSend(std::size_t instances, BootTime now, Random &random);
 
-    /** A request is sent. */
-    void use(std::size_t instances, BootTime now, Random &random);
+    /** Uses up the current send time for a request that is being sent. */
+    void consume(std::size_t instances, BootTime now, Random &random);
 
 private:
-    void drawNext(std::size_t instances, BootTime from, Random &random);
+    void scheduleNext(std::size_t instances, BootTime from, Random &random);
 
-    bool isStated_ = false;
+    bool isLimited_ = false;
     double perSecond_ = 0;
-    BootTime opensAt_; ///< One request may be sent from then on, for a short time.
+    BootTime nextSendAt_; ///< From then on one request may be sent, for SendWindow.
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/retryallowance.h
+++ b/libs/routing/include/routing/retryallowance.h
@@ -11,16 +11,15 @@
 {
 
 /**
- * This instance's part of a retry budget that all instances share, for one service.
+ * This instance's part of a service's retry budget, which all instances share.
  *
- * The budget bounds, in every window of time, the sendings beyond the first of each request to a share of the service's
- * requests plus a constant. Each instance keeps to that share of the requests that it took itself, so that the sum holds
- * however unevenly callers are spread, without a message between instances; of the constant it takes half of an equal part,
- * so that the sum also holds while instances are added or have just begun anew.
- * Refused sendings count too, since they load the endpoint as well. Lives as long as its entry's task. Not thread-safe.
+ * In every time window the budget limits retries (all attempts of a request after its first) to a share of the service's requests plus a constant.
+ * Each instance applies the share to its own requests, so that the total holds for any distribution of the callers and without communication. Of the
+ * constant it uses half of an equal part, so that the total also holds while instances are added or restarted. Rejected attempts count too, since
+ * they also load the endpoint. Lives as long as its entry's task. Not thread-safe.
  *
  * @code
- * allowance.requestCame(now);
+ * allowance.onRequest(now);
  * if (allowance.tryRetry(now)) { sendElsewhere(); }
  * @endcode
  */
@@ -28,16 +27,16 @@
 {
 public:
     struct Options {
-        double share = 0.2; ///< Retries for each request.
-        double constant = 0; ///< Retries in a window besides, of all instances together.
+        double share = 0.2; ///< Retries per request.
+        double constant = 0; ///< Additional retries per window, for all instances together.
         Duration window{10000};
-        /** That share the budget. A process learns the number together with its routes, before it can take a request. */
+        /** Number of instances that share the budget. A process learns it together with its routes, before it can accept requests. */
         std::size_t instances = 8;
     };
 
     explicit RetryAllowance(const Options &options);
 
-    /** @param instances that share the budget from now on. */
+    /** @param instances number of instances that share the budget from now on. */
     void setInstances(std::size_t instances)
     {
         options_.instances = instances;
@@ -45,22 +44,22 @@
 
     void onRequest(BootTime now);
 
-    /** @return true if one more sending is within the budget; it is then counted. */
+    /** @return true if one more retry is within the budget; the retry is then counted. */
     bool tryRetry(BootTime now);
 
 private:
-    static constexpr std::size_t SlotCount = 64; ///< Parts of the window; its edge is one part blurred.
+    static constexpr std::size_t BucketCount = 64; ///< The window is exact to one bucket.
 
-    struct Slot {
-        std::int64_t number = 0; ///< Which part of the time since the epoch it counts.
+    struct Bucket {
+        std::int64_t number = 0; ///< Index of its time span since the epoch.
         std::uint32_t requests = 0;
         std::uint32_t retries = 0;
     };
 
-    Slot &slotAt(BootTime now);
+    Bucket &bucketAt(BootTime now);
 
     Options options_;
-    std::array<Slot, SlotCount> slots_{};
+    std::array<Bucket, BucketCount> buckets_{};
 };
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/routetable.h
+++ b/libs/routing/include/routing/routetable.h
@@ -13,9 +13,9 @@
 namespace magnolia::routing
 {
 
-/** Lets a table keyed by strings be searched by a view. */
+/** Allows a hash table with string keys to be searched with a string view. */
 struct TextHash {
-    using is_transparent = void; // NOLINT(readability-identifier-naming): the name that the standard library asks for
+    using is_transparent = void; // NOLINT(readability-identifier-naming): name required by the standard library
     std::size_t operator()(std::string_view text) const
     {
         return std::hash<std::string_view>()(text);
@@ -26,9 +26,9 @@
 using TextMap = std::unordered_map<std::string, T, TextHash, std::equal_to<>>;
 
 /**
- * One version of the routing configuration, made quick to search.
+ * Lookup tables over one version of the routing configuration.
  *
- * Never changes once built, and is shared: a request keeps the version that it began under.
+ * Immutable and shared: a request keeps the version with which it started.
  *
  * @code
  * const auto table = std::make_shared<const RouteTable>(std::move(config));
@@ -44,10 +44,10 @@
     RouteTable(const RouteTable &) = delete;
     RouteTable &operator=(const RouteTable &) = delete;
 
-    /** @param host as received, with or without a port. @return that host's route with the longest prefix of the path, or null. */
+    /** @param host as received, with or without a port. @return the host's route with the longest matching path prefix, or null. */
     const Route *match(std::string_view host, std::string_view path) const;
 
-    /** @return the holder of a key, or null. */
+    /** @return the organisation to which an API key belongs, or null. */
     const Organisation *organisationOf(std::string_view key) const;
 
     const Service *service(std::string_view name) const;
@@ -67,12 +67,12 @@
 
 private:
     RoutingConfig config_;
-    TextMap<TextMap<const Route *>> hosts_; ///< By host, then by prefix.
+    TextMap<TextMap<const Route *>> hosts_; ///< Keys: host, then path prefix.
     TextMap<const Organisation *> keys_;
     TextMap<const Service *> services_;
 };
 
-/** @param point 0 to 1, drawn at random for each request. @return the target whose share of the weights holds it. */
+/** Weighted choice of a target. @param point 0 to 1, drawn at random for each request. */
 const RouteTarget &pickTarget(const Route &route, double point);
 
 } // namespace magnolia::routing
--- a/libs/routing/include/routing/routingconfig.h
+++ b/libs/routing/include/routing/routingconfig.h
@@ -9,24 +9,24 @@
 #include <string>
 #include <vector>
 
-/** Which request goes where, and what may be done with it: the operators' word on requests that are passed on unread. */
+/** Configuration and state for routing requests, which are forwarded without inspecting their bodies, to the endpoints of services. */
 namespace magnolia::routing
 {
 
-/** What may be repeated. */
+/** Determines whether a request may be retried. */
 enum class RouteKind : std::uint8_t {
-    Idempotent, ///< May run more than once.
-    AtMostOnce, ///< Never sent again, unless it is proved that it has not run.
-    Stream, ///< Answered by events; as AtMostOnce, unless the route is resumable.
+    Idempotent, ///< May be executed more than once.
+    AtMostOnce, ///< Retried only if it is proven that it has not been executed.
+    Stream, ///< Answered by a stream of events; retried like AtMostOnce, unless the route is resumable.
 };
 
-/** A service's part of a route's requests. */
+/** A service that gets a share of a route's requests. */
 struct RouteTarget {
     std::string service;
     std::uint32_t weight = 1; ///< Relative to the route's other targets.
 };
 
-/** 0 is the most urgent, LeastUrgent the least. */
+/** 0 is the highest priority, LowestPriority the lowest. */
 using Priority = std::uint8_t;
 constexpr Priority LowestPriority = 9;
 
@@ -35,73 +35,73 @@
     std::string host;
     std::string pathPrefix; ///< Begins and ends with '/'.
     RouteKind kind = RouteKind::AtMostOnce;
-    Duration timeout{0}; ///< Longest time that a caller waits for the end of its answer; 0: no limit of the route's own.
-    Duration latencyObjective{0}; ///< To the whole answer; of a stream: to its first event.
-    Duration pauseObjective{0}; ///< Longest pause between a stream's events; 0: none stated.
+    Duration timeout{0}; ///< Maximum time to the end of the answer; 0: no limit by the route.
+    Duration latencyObjective{0}; ///< Time to the complete answer, or to the first event of a stream.
+    Duration pauseObjective{0}; ///< Maximum pause between two events of a stream; 0: no objective.
     std::optional<Priority> priority;
     std::vector<RouteTarget> targets; ///< At least one.
-    std::uint32_t maxEndpoints = 1; ///< Endpoints that one request may be sent to.
-    bool isPublic = false; ///< Needs no key.
-    bool isResumable = false; ///< A stream may go on at another endpoint behind its last event.
+    std::uint32_t maxEndpoints = 1; ///< Maximum number of endpoints to which one request is dispatched.
+    bool isPublic = false; ///< Requires no API key.
+    bool isResumable = false; ///< A stream may be resumed at another endpoint after its last event.
 };
 
-/** How an engine's passes take their time; all as the operators state it. */
+/** Model of the duration of an engine's passes, as configured by the operators. */
 struct StepModel {
-    std::uint32_t slots = 1; ///< Requests that it runs at once.
-    std::uint64_t memoryTokens = 0; ///< Prompt and answer tokens that fit into its memory.
+    std::uint32_t slots = 1; ///< Requests that the engine runs concurrently.
+    std::uint64_t memoryTokens = 0; ///< Capacity of its memory in prompt and answer tokens.
     std::uint32_t stepsPerPass = 1;
     double stepMs = 0;
-    double perRequestMs = 0; ///< Added to a step for each request that is answered in it.
-    double perThousandTokensMs = 0; ///< Added for each 1,000 tokens of context of such a request.
-    double prefillTokensPerSecond = 0; ///< Prompt tokens.
+    double perRequestMs = 0; ///< Added to the step time for each request in the batch.
+    double perThousandTokensMs = 0; ///< Added to the step time for each 1,000 context tokens of such a request.
+    double prefillTokensPerSecond = 0; ///< Processing rate of prompt tokens.
     double typicalPromptTokens = 0;
     double typicalAnswerTokens = 0;
 };
 
-/** How a service's engines share the experts of a group. */
+/** Distribution of a model's experts over the engines of a group. */
 struct ExpertLayout {
-    Duration pauseObjective{0}; ///< The shortest of the routes that lead to the service; 0: none.
-    std::uint32_t sets = 0; ///< 0: it has no experts.
-    std::uint32_t experts = 0; ///< In each set.
-    std::uint32_t placesPerRank = 0; ///< In each set.
-    std::uint32_t sparePlaces = 0; ///< Most experts of a set that a rank can take on in one change.
+    Duration pauseObjective{0}; ///< Shortest objective of the routes to the service; 0: none.
+    std::uint32_t sets = 0; ///< Number of expert sets; 0: the model has no experts.
+    std::uint32_t experts = 0; ///< Experts per set.
+    std::uint32_t placesPerRank = 0; ///< Expert slots of a rank per set.
+    std::uint32_t sparePlaces = 0; ///< Maximum number of experts per set that a rank can add in one map switch.
     double expertMegabytes = 0;
     double linkMegabitsPerSecond = 0;
-    double workShare = 0; ///< Of a token's work that is done by experts, 0 to 1.
-    Duration formingTime{0}; ///< From a rank's return to the opening of its group.
+    double workShare = 0; ///< Fraction of the work per token that experts do, 0 to 1.
+    Duration formingTime{0}; ///< Time from a rank's return until its group serves again.
 };
 
 struct Service {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< An endpoint takes so many of all callers together.
-    std::optional<StepModel> steps{}; ///< Of model engines.
+    std::uint32_t maxConnections = 0; ///< Maximum connections to one endpoint from all entries together.
+    std::optional<StepModel> steps{}; ///< Set for model engines.
     ExpertLayout experts{};
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size and duration of callers' requests. */
 struct CallerLimits {
     std::size_t maxHeaderBytes = 16U << 10U;
     std::size_t maxBodyBytes = 4U << 20U;
     Duration headerTimeout{3000};
-    Duration idleTimeout{15000}; ///< Of a kept connection without a request.
+    Duration idleTimeout{15000}; ///< For a keep-alive connection without a request.
 };
 
 struct Organisation {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<Priority> priority; ///< Goes before the route's.
+    std::optional<Priority> priority; ///< Overrides the priority of the route.
 };
 
-/** One version of all of it. */
+/** One version of the complete routing configuration. */
 struct RoutingConfig {
-    std::uint64_t version = 0; ///< A higher one replaces a lower one.
+    std::uint64_t version = 0; ///< A configuration with a higher version replaces one with a lower version.
     std::vector<Route> routes;
     std::vector<Service> services;
     CallerLimits limits;
-    std::vector<Organisation> organisations; ///< Empty: no request needs a key.
+    std::vector<Organisation> organisations; ///< Empty: no request requires an API key.
 };
 
-/** @return the shortest pause objective of the routes that lead to a service; 0 if none states one. */
+/** @return the shortest pause objective of the routes to a service; 0 if none has one. */
 Duration shortestPauseObjective(const RoutingConfig &config, std::string_view service);
 
 } // namespace magnolia::routing
--- a/libs/routing/src/attemptpolicy.cpp
+++ b/libs/routing/src/attemptpolicy.cpp
@@ -8,18 +8,18 @@
 namespace
 {
 
-// An answer to a request that may be repeated is waited for so many times the route's objective before another endpoint is
-// tried: long enough for one that is merely slow, and short enough that the other's answer is in time to be of use.
-constexpr int ObjectivesBeforeRepeat = 2;
+// An idempotent request is retried at another endpoint after this many times the latency objective: long enough for an endpoint that is merely slow,
+// and short enough that the other endpoint's answer is still useful.
+constexpr int RetryAfterObjectives = 2;
 
-// First events take longer than the shortest of them: a stream that is stuck is moved so long before a sending is of no use any more.
-constexpr Duration MoveLead{200};
+// First events usually take longer than the minimum, so a stuck stream is moved to another endpoint this long before the latest useful dispatch.
+constexpr Duration MigrationLead{200};
 
-// What has begun goes on in passes, and what was just sent may wait for one; only a longer silence tells that a stream is stuck.
-constexpr Duration LeastSilence{500};
+// Events are produced in passes, and a new stream may have to wait for the next pass. Only a longer silence indicates a stuck stream.
+constexpr Duration MinStreamSilence{500};
 
-// Endpoints differ in how long requests wait there; one that is overtaken by so much is stuck.
-constexpr Duration OvertakenBy{1000};
+// Waiting times differ between endpoints. A request is stuck if one dispatched this much later has started at another endpoint.
+constexpr Duration OvertakenThreshold{1000};
 
 } // namespace
 
@@ -38,10 +38,10 @@
         return state.lastReceivedAt;
     }
     if (isStream()) {
-        return std::max(latestUsefulDispatch(now) - MoveLead, state.lastReceivedAt + LeastSilence);
+        return std::max(latestUsefulDispatch(now) - MigrationLead, state.lastReceivedAt + MinStreamSilence);
     }
     if (options_.route.kind == RouteKind::Idempotent && options_.route.latencyObjective.count() > 0) {
-        return state.sentAt + ObjectivesBeforeRepeat * options_.route.latencyObjective;
+        return state.sentAt + RetryAfterObjectives * options_.route.latencyObjective;
     }
     return options_.deadlines.deadline();
 }
@@ -58,8 +58,8 @@
     if (state.hasAnswer) {
         return endpoint.lastReceivedAt > state.lastReceivedAt;
     }
-    const BootTime overtaken = state.sentAt + OvertakenBy;
-    return endpoint.lastStartedSentAt > state.sentAt || options_.endpoints.serviceLastStartedSentAt(options_.service) > overtaken;
+    const BootTime overtakenAfter = state.sentAt + OvertakenThreshold;
+    return endpoint.lastStartedSentAt > state.sentAt || options_.endpoints.serviceLastStartedSentAt(options_.service) > overtakenAfter;
 }
 
 } // namespace magnolia::routing
--- a/libs/routing/src/callerdeadlines.cpp
+++ b/libs/routing/src/callerdeadlines.cpp
@@ -8,27 +8,27 @@
 namespace
 {
 
-// A request that states no deadline and whose route has no timeout.
-constexpr Duration UsualDeadline{30000};
+// For callers that send no timeout; the route's timeout applies as well.
+constexpr Duration DefaultTimeout{30000};
 
-// For the way to the caller, and a timer that fires late.
+// Covers the transmission to the caller and late timers.
 constexpr Duration DeadlineMargin{40};
 
-// After the longest of the three without an event callers leave a stream.
-constexpr Duration ShortestGap{2000};
-constexpr int ObjectivesOfGap = 4; // For the first event.
-constexpr int PausesOfGap = 8;
+// Callers disconnect from a stream after the longest of these three without an event.
+constexpr Duration MinGap{2000};
+constexpr int GapLatencyObjectives = 4; // The latency objective is for the first event.
+constexpr int GapPauseObjectives = 8;
 
-// The caller's gap begins as it connects, which is before its request comes.
+// The caller's gap starts when it connects, which is before its request is received.
 constexpr Duration GapMargin{60};
 
 } // namespace
 
 CallerDeadlines::CallerDeadlines(const Options &options)
     : options_(options)
-    , timeLimit_(options.callerTimeout.value_or(UsualDeadline))
+    , timeLimit_(options.callerTimeout.value_or(DefaultTimeout))
     , deadline_(options.receivedAt + std::max(timeLimit_ - DeadlineMargin, Duration(0)))
-    , gapBegan_(options.receivedAt)
+    , gapStart_(options.receivedAt)
 {
 }
 
@@ -40,17 +40,17 @@
     if (route.kind != RouteKind::Stream) {
         return;
     }
-    gap_ = std::max({ShortestGap, route.latencyObjective * ObjectivesOfGap, route.pauseObjective * PausesOfGap});
+    maxGap_ = std::max({MinGap, route.latencyObjective * GapLatencyObjectives, route.pauseObjective * GapPauseObjectives});
 }
 
 void CallerDeadlines::onEventSent(BootTime now)
 {
-    gapBegan_ = now;
+    gapStart_ = now;
 }
 
 BootTime CallerDeadlines::nextEventDeadline() const
 {
-    return gap_ ? std::min(deadline_, gapBegan_ + *gap_ - GapMargin) : deadline_;
+    return maxGap_ ? std::min(deadline_, gapStart_ + *maxGap_ - GapMargin) : deadline_;
 }
 
 } // namespace magnolia::routing
--- a/libs/routing/src/endpointroster.cpp
+++ b/libs/routing/src/endpointroster.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// The platform drops an entry after three renewals are missed. The last one may have come one interval before the list went
-// away, so no entry lapses in an outage that is shorter than two.
-constexpr int RenewalsMissedInOutage = 2;
+// The platform drops an entry after three missed renewals. The last renewal may have been one interval before the outage, so no entry expires in an
+// outage shorter than two intervals.
+constexpr int MinOutageRenewals = 2;
 
 } // namespace
 
@@ -19,70 +19,69 @@
     entries_.insert_or_assign(record.id, Entry{.record = record, .removeAt = {}});
 }
 
-/** Whether entries may have lapsed since the list was last known to serve. */
-bool EndpointRoster::mayHaveBeenAway(BootTime now) const
+/** @return true if the list was last known to be available so long ago that entries may have expired in an outage. */
+bool EndpointRoster::mayHaveBeenUnavailable(BootTime now) const
 {
-    return knownAsOf_ && now - *knownAsOf_ >= RenewalsMissedInOutage * options_.renewalInterval;
+    return lastServingAt_ && now - *lastServingAt_ >= MinOutageRenewals * options_.renewalInterval;
 }
 
 /**
- * The list is heard of again. Only a silence in which entries can lapse opens the time in which they may come back: an
- * endpoint that left while this instance alone was cut off was otherwise kept for that time too, and got requests long after
- * all other instances had given it up.
+ * Starts the recovery time if the list is available again after an outage in which entries can expire. A shorter silence must not start it: an endpoint
+ * that left while only this instance was disconnected would then be retained here, and get requests long after all other instances had removed it.
  */
-void EndpointRoster::heard(BootTime now)
+void EndpointRoster::onListResponse(BootTime now)
 {
-    if (mayHaveBeenAway(now)) {
-        comeBackUntil_ = now + options_.recoveryTime;
+    if (mayHaveBeenUnavailable(now)) {
+        recoveryEndsAt_ = now + options_.recoveryTime;
     }
 }
 
 std::optional<PendingRemoval> EndpointRoster::onEntryRemoved(std::string_view id, BootTime now)
 {
-    heard(now);
+    onListResponse(now);
     const auto found = entries_.find(id);
     if (found == entries_.end() || found->second.removeAt) {
         return std::nullopt;
     }
-    found->second.removeAt = std::max(now, comeBackUntil_);
+    found->second.removeAt = std::max(now, recoveryEndsAt_);
     return PendingRemoval{.id = found->first, .removeAt = *found->second.removeAt};
 }
 
 std::vector<PendingRemoval> EndpointRoster::onFullList(std::span<const std::string> ids, BootTime now)
 {
-    std::vector<PendingRemoval> absences;
+    std::vector<PendingRemoval> removals;
     for (const auto &[id, entry] : entries_) {
         if (std::find(ids.begin(), ids.end(), id) != ids.end()) {
             continue;
         }
-        if (auto absence = onEntryRemoved(id, now)) {
-            absences.push_back(std::move(*absence));
+        if (auto removal = onEntryRemoved(id, now)) {
+            removals.push_back(std::move(*removal));
         }
     }
-    return absences;
+    return removals;
 }
 
 void EndpointRoster::onListConfirmed(BootTime asOf, BootTime now)
 {
-    heard(now);
-    knownAsOf_ = knownAsOf_ ? std::max(*knownAsOf_, asOf) : asOf;
+    onListResponse(now);
+    lastServingAt_ = lastServingAt_ ? std::max(*lastServingAt_, asOf) : asOf;
 }
 
 std::vector<std::string> EndpointRoster::takeDueRemovals(BootTime now)
 {
-    std::vector<std::string> taken;
-    if (mayHaveBeenAway(now)) {
-        return taken;
+    std::vector<std::string> due;
+    if (mayHaveBeenUnavailable(now)) {
+        return due;
     }
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         if (entry->second.removeAt && *entry->second.removeAt <= now) {
-            taken.push_back(entry->first);
+            due.push_back(entry->first);
             entry = entries_.erase(entry);
         } else {
             ++entry;
         }
     }
-    return taken;
+    return due;
 }
 
 std::optional<BootTime> EndpointRoster::nextRemovalAt() const
@@ -98,26 +97,26 @@
 
 EndpointSnapshot EndpointRoster::snapshot(std::uint64_t version, BootTime now) const
 {
-    EndpointSnapshot listing{.version = version, .endpoints = {}};
+    EndpointSnapshot snapshot{.version = version, .endpoints = {}};
     for (const auto &[id, entry] : entries_) {
         if (entry.removeAt) {
-            const auto left = std::chrono::ceil<Duration>(std::max(*entry.removeAt - now, BootClock::duration(0)));
-            listing.retained.push_back({.record = entry.record, .timeLeft = left});
+            const auto timeLeft = std::chrono::ceil<Duration>(std::max(*entry.removeAt - now, BootClock::duration(0)));
+            snapshot.retained.push_back({.record = entry.record, .timeLeft = timeLeft});
         } else {
-            listing.endpoints.push_back(entry.record);
+            snapshot.endpoints.push_back(entry.record);
         }
     }
-    return listing;
+    return snapshot;
 }
 
-std::optional<PendingRemoval> EndpointRoster::onRetainedByPeer(std::string_view id, Duration left, BootTime now)
+std::optional<PendingRemoval> EndpointRoster::onRetainedByPeer(std::string_view id, Duration timeLeft, BootTime now)
 {
     const auto found = entries_.find(id);
     if (found == entries_.end() || found->second.removeAt) {
         return std::nullopt;
     }
-    heard(now);
-    found->second.removeAt = std::max(now + left, comeBackUntil_);
+    onListResponse(now);
+    found->second.removeAt = std::max(now + timeLeft, recoveryEndsAt_);
     return PendingRemoval{.id = found->first, .removeAt = *found->second.removeAt};
 }
 
--- a/libs/routing/src/endpointsnapshot.cpp
+++ b/libs/routing/src/endpointsnapshot.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-// Members are short: with 1,300 endpoints each byte counts.
-json encoded(const EndpointRecord &record)
+// Keys are short because a snapshot may contain 1,300 endpoints.
+json encodeRecord(const EndpointRecord &record)
 {
     return {{"i", record.id},
             {"s", record.service},
@@ -24,7 +24,7 @@
             {"b", record.incarnation}};
 }
 
-EndpointRecord decoded(const json &record)
+EndpointRecord decodeRecord(const json &record)
 {
     return {.id = record.at("i").get<std::string>(),
             .service = record.at("s").get<std::string>(),
@@ -37,18 +37,18 @@
 
 } // namespace
 
-std::string encodeSnapshot(const EndpointSnapshot &listing)
+std::string encodeSnapshot(const EndpointSnapshot &snapshot)
 {
     json endpoints = json::array();
-    for (const EndpointRecord &record : listing.endpoints) {
-        endpoints.push_back(encoded(record));
+    for (const EndpointRecord &record : snapshot.endpoints) {
+        endpoints.push_back(encodeRecord(record));
     }
-    json kept = json::array();
-    for (const RetainedEndpoint &endpoint : listing.retained) {
-        kept.push_back({{"r", encoded(endpoint.record)}, {"t", endpoint.timeLeft.count()}});
+    json retained = json::array();
+    for (const RetainedEndpoint &endpoint : snapshot.retained) {
+        retained.push_back({{"r", encodeRecord(endpoint.record)}, {"t", endpoint.timeLeft.count()}});
     }
     std::string bytes;
-    json::to_cbor(json{{"v", listing.version}, {"e", std::move(endpoints)}, {"k", std::move(kept)}}, bytes);
+    json::to_cbor(json{{"v", snapshot.version}, {"e", std::move(endpoints)}, {"k", std::move(retained)}}, bytes);
     return bytes;
 }
 
@@ -56,14 +56,14 @@
 {
     try {
         const json document = json::from_cbor(bytes);
-        EndpointSnapshot listing{.version = document.at("v").get<std::uint64_t>(), .endpoints = {}};
+        EndpointSnapshot snapshot{.version = document.at("v").get<std::uint64_t>(), .endpoints = {}};
         for (const json &record : document.at("e")) {
-            listing.endpoints.push_back(decoded(record));
+            snapshot.endpoints.push_back(decodeRecord(record));
         }
-        for (const json &kept : document.value("k", json::array())) { // Peers of an earlier version don't tell.
-            listing.retained.push_back({.record = decoded(kept.at("r")), .timeLeft = Duration(kept.at("t").get<Duration::rep>())});
+        for (const json &retained : document.value("k", json::array())) { // Absent in snapshots from peers of an earlier version.
+            snapshot.retained.push_back({.record = decodeRecord(retained.at("r")), .timeLeft = Duration(retained.at("t").get<Duration::rep>())});
         }
-        return listing;
+        return snapshot;
     } catch (const json::exception &error) {
         return fail(ErrorCode::BadInput, Verdict::NotRun, std::string("the list of endpoints can't be read: ") + error.what());
     }
--- a/libs/routing/src/endpointtable.cpp
+++ b/libs/routing/src/endpointtable.cpp
@@ -11,52 +11,51 @@
 namespace
 {
 
-// Reports of running and waiting requests come with answers; after a second most of those requests are others.
+// Load reports arrive with answers. After a second most of the reported requests have been replaced by others.
 constexpr std::chrono::duration<double> ReportHalfLife{1.0};
 
-// Between data centres of a region a request takes about a millisecond more each way: it only decides between equals.
+// A request to another data centre of the region takes about a millisecond longer each way, so the cost only decides at equal load.
 constexpr double OtherDataCentreCost = 0.02;
 
-// A single failure may be the request's own; the pause then doubles up to a length after which a replaced or healed
-// endpoint is found again soon enough to matter.
-constexpr Duration FirstPause{250};
-constexpr Duration LongestPause{4000};
+// A single failure may be caused by the request, so the backoff starts short. The maximum is short enough to use a replaced or recovered endpoint soon.
+constexpr Duration InitialBackoff{250};
+constexpr Duration MaxBackoff{4000};
 
-// What can't be connected to is dead, or unreachable from here, in all likelihood.
-constexpr Duration UnreachablePause{1000};
+// An endpoint that cannot be connected to is most likely down or unreachable from this instance.
+constexpr Duration UnreachableBackoff{1000};
 
-// Sent as often as equals by the random part, so that entries with the same reports don't all choose the same endpoint.
-constexpr double RandomPart = 0.05;
+// Random cost added to each endpoint, so that entries with the same reports do not all choose the same one.
+constexpr double MaxRandomCost = 0.05;
 
-// Addresses of endpoints at fault that are remembered: far more than fail while any of them matters.
-constexpr std::size_t MostFaults = 1000;
+// Limit on the remembered addresses that rejections named as the cause; far more than are relevant at one time.
+constexpr std::size_t MaxFaultyAddresses = 1000;
 
-// Each trial of a group that does not run yet costs a refused request, and each pause delays all who wait for it.
-constexpr Duration GroupPause{200};
+// Each probe of a group that is not running costs a rejected request, whereas a long interval delays all requests that wait for the group.
+constexpr Duration GroupRetryInterval{200};
 
-// Two words further apart than this are of different passes of a group.
-constexpr Duration SamePass{50};
+// Events of the endpoints of a group that are further apart than this belong to different passes.
+constexpr Duration SamePassTolerance{50};
 
-// Part of an endpoint's places that all entries together may fill with streams that have not begun: the next ones begin without a gap, and few wait
-// where nobody can recall them once the endpoint is out of reach.
-constexpr std::uint32_t UnbegunParts = 4;
+// Streams without a first event may occupy one slot in this many, for all entries together. That is enough to refill slots without a gap, and few
+// streams are stuck at an endpoint that becomes unresponsive, where they cannot be cancelled.
+constexpr std::uint32_t UnstartedSlotDivisor = 4;
 
 double seconds(BootClock::duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-/** Both state when they started, and the one did before the other: it is of a run that has ended. */
-bool isEarlier(const EndpointRecord &one, const EndpointRecord &other)
+/** @return true if both start times are known and one is of an earlier run than other. */
+bool isEarlierRun(const EndpointRecord &one, const EndpointRecord &other)
 {
     return one.incarnation != 0 && one.incarnation < other.incarnation;
 }
 
-Duration pauseAfter(std::uint32_t failures)
+Duration backoffAfter(std::uint32_t failures)
 {
-    constexpr std::uint32_t MostDoublings = 4;
-    const std::uint32_t doublings = std::min(failures > 0 ? failures - 1 : 0, MostDoublings);
-    return std::min(FirstPause * (1U << doublings), LongestPause);
+    constexpr std::uint32_t MaxDoublings = 4;
+    const std::uint32_t doublings = std::min(failures > 0 ? failures - 1 : 0, MaxDoublings);
+    return std::min(InitialBackoff * (1U << doublings), MaxBackoff);
 }
 
 } // namespace
@@ -66,10 +65,10 @@
 void EndpointTable::put(const EndpointRecord &record)
 {
     const auto found = byId_.find(record.id);
-    if (found != byId_.end() && isEarlier(record, found->second->record)) {
+    if (found != byId_.end() && isEarlierRun(record, found->second->record)) {
         return;
     }
-    const bool isSameRun = found != byId_.end() && !isEarlier(found->second->record, record);
+    const bool isSameRun = found != byId_.end() && !isEarlierRun(found->second->record, record);
     if (isSameRun && found->second->record.service == record.service) {
         const std::uint64_t incarnation = std::max(record.incarnation, found->second->record.incarnation);
         found->second->record = record;
@@ -106,43 +105,43 @@
     return found == byService_.end() ? std::span<const EndpointPointer>() : std::span<const EndpointPointer>(found->second);
 }
 
-bool EndpointTable::hasShareUnbegun(const Endpoint &endpoint) const
+bool EndpointTable::isAtUnstartedLimit(const Endpoint &endpoint) const
 {
-    const std::size_t share = endpoint.record.slots / (UnbegunParts * std::max<std::size_t>(instances_, 1));
+    const std::size_t share = endpoint.record.slots / (UnstartedSlotDivisor * std::max<std::size_t>(instances_, 1));
     return endpoint.unstartedStreams >= std::max<std::size_t>(share, 1);
 }
 
-EndpointTable::Reluctance EndpointTable::reluctanceTo(const Endpoint &endpoint, const ChoiceRequest &request, BootTime now) const
+EndpointTable::AvoidanceLevel EndpointTable::avoidanceOf(const Endpoint &endpoint, const ChoiceRequest &request, BootTime now) const
 {
     if (endpoint.isUnresponsive) {
-        return Reluctance::OutOfReach;
+        return AvoidanceLevel::Unresponsive;
     }
-    const bool meetsSuspect = request.isSuspect && endpoint.suspectRequests > 0;
+    const bool joinsSuspect = request.isSuspect && endpoint.suspectRequests > 0;
     const bool isAvoided = now < std::max(endpoint.avoidUntil, endpoint.groupAvoidUntil);
-    if (meetsSuspect || isAvoided || endpoint.isSuspected) {
-        return Reluctance::Avoided;
+    if (joinsSuspect || isAvoided || endpoint.isSuspected) {
+        return AvoidanceLevel::Avoided;
     }
-    return hasShareUnbegun(endpoint) ? Reluctance::Behind : Reluctance::None;
+    return isAtUnstartedLimit(endpoint) ? AvoidanceLevel::Saturated : AvoidanceLevel::None;
 }
 
 EndpointPointer EndpointTable::choose(const ChoiceRequest &request, BootTime now, Random &random) const
 {
-    std::uniform_real_distribution<double> drawn(0, RandomPart);
+    std::uniform_real_distribution<double> randomCost(0, MaxRandomCost);
     EndpointPointer best;
-    Reluctance bestReluctance = Reluctance::None;
+    AvoidanceLevel bestAvoidance = AvoidanceLevel::None;
     double bestCost = 0;
     for (const EndpointPointer &endpoint : endpointsOf(request.service)) {
-        const bool isTried = std::find(request.excluded.begin(), request.excluded.end(), endpoint->record.id) != request.excluded.end();
-        if (isTried || !endpoint->acceptsRequests() || !endpoint->limit.mayUse(instances_, now, random)) {
+        const bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), endpoint->record.id) != request.excluded.end();
+        if (isExcluded || !endpoint->acceptsRequests() || !endpoint->limit.canSend(instances_, now, random)) {
             continue;
         }
-        const Reluctance reluctance = reluctanceTo(*endpoint, request, now);
-        const double itsCost = cost(*endpoint, now) + drawn(random);
-        const bool isBetter = best == nullptr || reluctance < bestReluctance || (reluctance == bestReluctance && itsCost < bestCost);
+        const AvoidanceLevel avoidance = avoidanceOf(*endpoint, request, now);
+        const double candidateCost = cost(*endpoint, now) + randomCost(random);
+        const bool isBetter = best == nullptr || avoidance < bestAvoidance || (avoidance == bestAvoidance && candidateCost < bestCost);
         if (isBetter) {
             best = endpoint;
-            bestReluctance = reluctance;
-            bestCost = itsCost;
+            bestAvoidance = avoidance;
+            bestCost = candidateCost;
         }
     }
     return best;
@@ -150,34 +149,34 @@
 
 void EndpointTable::onRefusedForPeer(Endpoint &endpoint, std::string_view peerAddress, BootTime now)
 {
-    if (groupsByFault_.size() >= MostFaults) {
-        groupsByFault_.clear(); // Learnt again by the next refusals.
+    if (groupsByFaultyAddress_.size() >= MaxFaultyAddresses) {
+        groupsByFaultyAddress_.clear(); // Learnt again from the next rejections.
     }
     if (endpoint.group == 0) {
         endpoint.group = ++lastGroup_;
     }
-    // Those that refuse for the same endpoint's sake are of its group, whether it is on the list or not.
-    const auto known = groupsByFault_.find(peerAddress);
-    if (known == groupsByFault_.end()) {
-        groupsByFault_.emplace(peerAddress, endpoint.group);
+    // Endpoints that reject requests because of the same endpoint are in its group, whether that is on the list or not.
+    const auto known = groupsByFaultyAddress_.find(peerAddress);
+    if (known == groupsByFaultyAddress_.end()) {
+        groupsByFaultyAddress_.emplace(peerAddress, endpoint.group);
     } else {
-        joinGroups(endpoint.record.service, endpoint.group, known->second);
+        mergeGroups(endpoint.record.service, endpoint.group, known->second);
     }
     for (const EndpointPointer &peer : endpointsOf(endpoint.record.service)) {
         if (peer->record.address == peerAddress && peer->group != 0) {
-            joinGroups(endpoint.record.service, endpoint.group, peer->group);
+            mergeGroups(endpoint.record.service, endpoint.group, peer->group);
         } else if (peer->record.address == peerAddress) {
             peer->group = endpoint.group;
         }
     }
-    markGroup(endpoint, now + GroupPause);
+    setGroupAvoidUntil(endpoint, now + GroupRetryInterval);
 }
 
 void EndpointTable::onDispatch(Endpoint &endpoint, BootTime now, Random &random)
 {
-    endpoint.limit.use(instances_, now, random);
+    endpoint.limit.consume(instances_, now, random);
     if (endpoint.groupAvoidUntil != BootTime()) {
-        markGroup(endpoint, now + GroupPause);
+        setGroupAvoidUntil(endpoint, now + GroupRetryInterval);
     }
     if (endpoint.inFlight == 0) {
         endpoint.busySince = now;
@@ -189,11 +188,11 @@
     if (endpoint.groupAvoidUntil == BootTime()) {
         return false;
     }
-    markGroup(endpoint, BootTime());
+    setGroupAvoidUntil(endpoint, BootTime());
     return true;
 }
 
-void EndpointTable::joinGroups(std::string_view service, std::uint32_t one, std::uint32_t other)
+void EndpointTable::mergeGroups(std::string_view service, std::uint32_t one, std::uint32_t other)
 {
     if (one == other) {
         return;
@@ -201,12 +200,12 @@
     for (const EndpointPointer &endpoint : endpointsOf(service)) {
         endpoint->group = endpoint->group == other ? one : endpoint->group;
     }
-    for (auto &[address, group] : groupsByFault_) {
+    for (auto &[address, group] : groupsByFaultyAddress_) {
         group = group == other ? one : group;
     }
 }
 
-void EndpointTable::markGroup(Endpoint &endpoint, BootTime until)
+void EndpointTable::setGroupAvoidUntil(Endpoint &endpoint, BootTime until)
 {
     endpoint.groupAvoidUntil = until;
     for (const EndpointPointer &peer : endpointsOf(endpoint.record.service)) {
@@ -218,75 +217,75 @@
 
 bool EndpointTable::updateRateLimit(Endpoint &endpoint, std::optional<double> perSecond, BootTime now, Random &random) const
 {
-    return perSecond ? endpoint.limit.state(*perSecond, instances_, now, random) : endpoint.limit.lift();
+    return perSecond ? endpoint.limit.update(*perSecond, instances_, now, random) : endpoint.limit.clear();
 }
 
 bool EndpointTable::canAdmitStream(std::string_view service, BootTime now, Random &random) const
 {
-    bool hasWorking = false;
-    bool hasBehind = false;
-    bool hasAvoidedOne = false;
+    bool hasAccepting = false;
+    bool hasSaturated = false;
+    bool hasFreeAvoided = false;
     for (const EndpointPointer &endpoint : endpointsOf(service)) {
         if (!endpoint->acceptsRequests()) {
             continue;
         }
-        hasWorking = true;
-        const Reluctance reluctance = reluctanceTo(*endpoint, {.service = service}, now);
-        hasBehind = hasBehind || reluctance == Reluctance::Behind;
-        const bool isFree = reluctance < Reluctance::OutOfReach && !hasShareUnbegun(*endpoint) && endpoint->limit.mayUse(instances_, now, random);
-        if (isFree && reluctance == Reluctance::None) {
+        hasAccepting = true;
+        const AvoidanceLevel avoidance = avoidanceOf(*endpoint, {.service = service}, now);
+        hasSaturated = hasSaturated || avoidance == AvoidanceLevel::Saturated;
+        const bool isFree = avoidance < AvoidanceLevel::Unresponsive && !isAtUnstartedLimit(*endpoint) && endpoint->limit.canSend(instances_, now, random);
+        if (isFree && avoidance == AvoidanceLevel::None) {
             return true;
         }
-        hasAvoidedOne = hasAvoidedOne || isFree;
+        hasFreeAvoided = hasFreeAvoided || isFree;
     }
-    return !hasWorking || (hasAvoidedOne && !hasBehind);
+    return !hasAccepting || (hasFreeAvoided && !hasSaturated);
 }
 
 bool EndpointTable::hasFallenBehind(const Endpoint &endpoint) const
 {
-    return serviceLastReceivedAt(endpoint.record.service) > endpoint.silentSince() + SamePass;
+    return serviceLastReceivedAt(endpoint.record.service) > endpoint.silentSince() + SamePassTolerance;
 }
 
 void EndpointTable::onDataReceived(Endpoint &endpoint, BootTime now)
 {
     endpoint.lastReceivedAt = now;
-    signsOf(endpoint.record.service).lastReceivedAt = now;
+    activityOf(endpoint.record.service).lastReceivedAt = now;
 }
 
 void EndpointTable::onAnswerStarted(Endpoint &endpoint, BootTime sentAt)
 {
     endpoint.lastStartedSentAt = std::max(endpoint.lastStartedSentAt, sentAt);
-    ServiceSigns &signs = signsOf(endpoint.record.service);
-    signs.lastStartedSentAt = std::max(signs.lastStartedSentAt, sentAt);
+    ServiceActivity &activity = activityOf(endpoint.record.service);
+    activity.lastStartedSentAt = std::max(activity.lastStartedSentAt, sentAt);
 }
 
-EndpointTable::ServiceSigns &EndpointTable::signsOf(std::string_view service)
+EndpointTable::ServiceActivity &EndpointTable::activityOf(std::string_view service)
 {
-    const auto found = signs_.find(service);
-    return found == signs_.end() ? signs_.emplace(service, ServiceSigns{}).first->second : found->second;
+    const auto found = activity_.find(service);
+    return found == activity_.end() ? activity_.emplace(service, ServiceActivity{}).first->second : found->second;
 }
 
 BootTime EndpointTable::serviceLastReceivedAt(std::string_view service) const
 {
-    const auto found = signs_.find(service);
-    return found == signs_.end() ? BootTime() : found->second.lastReceivedAt;
+    const auto found = activity_.find(service);
+    return found == activity_.end() ? BootTime() : found->second.lastReceivedAt;
 }
 
 BootTime EndpointTable::serviceLastStartedSentAt(std::string_view service) const
 {
-    const auto found = signs_.find(service);
-    return found == signs_.end() ? BootTime() : found->second.lastStartedSentAt;
+    const auto found = activity_.find(service);
+    return found == activity_.end() ? BootTime() : found->second.lastStartedSentAt;
 }
 
-void EndpointTable::onStreamStarted(std::string_view service, BootClock::duration took, BootTime now)
+void EndpointTable::onStreamStarted(std::string_view service, BootClock::duration latency, BootTime now)
 {
-    signsOf(service).beginTimes.began(took, now);
+    activityOf(service).firstEventLatency.record(latency, now);
 }
 
 BootClock::duration EndpointTable::shortestFirstEventTime(std::string_view service, BootTime now) const
 {
-    const auto found = signs_.find(service);
-    return found == signs_.end() ? BootClock::duration(0) : found->second.beginTimes.shortest(now);
+    const auto found = activity_.find(service);
+    return found == activity_.end() ? BootClock::duration(0) : found->second.firstEventLatency.shortest(now);
 }
 
 void EndpointTable::onLoadReport(Endpoint &endpoint, const LoadReport &load, BootTime now)
@@ -296,9 +295,9 @@
     endpoint.reportedAt = now;
 }
 
-void EndpointTable::onAttemptEnded(Endpoint &endpoint, AttemptOutcome sign, BootTime now)
+void EndpointTable::onAttemptEnded(Endpoint &endpoint, AttemptOutcome outcome, BootTime now)
 {
-    switch (sign) {
+    switch (outcome) {
     case AttemptOutcome::Answered:
         endpoint.failures = 0;
         endpoint.avoidUntil = {};
@@ -307,11 +306,11 @@
         break;
     case AttemptOutcome::Failed:
         ++endpoint.failures;
-        endpoint.avoidUntil = now + pauseAfter(endpoint.failures);
+        endpoint.avoidUntil = now + backoffAfter(endpoint.failures);
         break;
     case AttemptOutcome::Unreachable:
         ++endpoint.failures;
-        endpoint.avoidUntil = now + std::max(UnreachablePause, pauseAfter(endpoint.failures));
+        endpoint.avoidUntil = now + std::max(UnreachableBackoff, backoffAfter(endpoint.failures));
         break;
     }
 }
@@ -320,8 +319,8 @@
 {
     const double reported = endpoint.load.running + endpoint.load.waiting;
     const double others = std::max(0.0, reported - endpoint.inFlightAtReport);
-    const double trust = std::exp2(-seconds(now - endpoint.reportedAt) / ReportHalfLife.count());
-    return endpoint.inFlight + others * trust;
+    const double weight = std::exp2(-seconds(now - endpoint.reportedAt) / ReportHalfLife.count());
+    return endpoint.inFlight + others * weight;
 }
 
 double EndpointTable::cost(const Endpoint &endpoint, BootTime now) const
--- a/libs/routing/src/fingerprint.cpp
+++ b/libs/routing/src/fingerprint.cpp
@@ -15,13 +15,13 @@
 namespace
 {
 
-constexpr std::size_t KeptBytes = 16; // Of the hash; enough that no two requests share them by chance.
+constexpr std::size_t FingerprintBytes = 16; // Prefix of the hash; long enough that accidental collisions are negligible.
 
 } // namespace
 
 std::string fingerprintOf(const RequestIdentity &identity)
 {
-    // Lengths first, so that no two different lists of parts give the same bytes.
+    // The lengths come first, so that different lists of parts never serialise to the same bytes.
     const std::string lengths = fmt::format("{} {} {} {} ", identity.method.size(), identity.host.size(), identity.target.size(), identity.organisation.size());
     std::string bytes;
     for (const std::string_view part : {std::string_view(lengths), identity.method, identity.host, identity.target, identity.organisation, identity.body}) {
@@ -29,7 +29,7 @@
     }
     std::array<unsigned char, SHA256_DIGEST_LENGTH> hash{};
     SHA256(reinterpret_cast<const unsigned char *>(bytes.data()), bytes.size(), hash.data());
-    return fmt::format("{:02x}", fmt::join(std::span(hash).first<KeptBytes>(), ""));
+    return fmt::format("{:02x}", fmt::join(std::span(hash).first<FingerprintBytes>(), ""));
 }
 
 } // namespace magnolia::routing
--- a/libs/routing/src/quarantine.cpp
+++ b/libs/routing/src/quarantine.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::size_t MostDoublings = 20;
+constexpr std::size_t MaxDoublings = 20;
 
 } // namespace
 
@@ -27,15 +27,15 @@
         return false;
     }
     const auto found = reported_.find(report.fingerprint);
-    if (found != reported_.end() && now >= keptUntil(found->second)) {
+    if (found != reported_.end() && now >= retainedUntil(found->second)) {
         reported_.erase(found);
     }
-    Reports alone{.ordinals = {report.ordinal}, .lastEnd = report.endedAt};
-    if (now >= keptUntil(alone) && !reported_.contains(report.fingerprint)) {
+    Reports single{.ordinals = {report.ordinal}, .lastEnd = report.endedAt};
+    if (now >= retainedUntil(single) && !reported_.contains(report.fingerprint)) {
         return false;
     }
-    makeRoom(now);
-    const auto [entry, isNew] = reported_.try_emplace(report.fingerprint, std::move(alone));
+    evictIfFull(now);
+    const auto [entry, isNew] = reported_.try_emplace(report.fingerprint, std::move(single));
     Reports &reports = entry->second;
     reports.lastEnd = std::max(reports.lastEnd, report.endedAt);
     return reports.ordinals.insert(report.ordinal).second || isNew;
@@ -55,9 +55,9 @@
 
 std::vector<std::uint32_t> Quarantine::onAnswered(std::string_view fingerprint, BootTime now)
 {
-    if (now - generationBegan_ >= options_.answerTime || answered_.size() >= options_.mostAnswered) {
-        answeredBefore_ = std::exchange(answered_, {});
-        generationBegan_ = now;
+    if (now - generationStart_ >= options_.answerTime || answered_.size() >= options_.maxAnswered) {
+        previousAnswered_ = std::exchange(answered_, {});
+        generationStart_ = now;
     }
     answered_.try_emplace(std::string(fingerprint), true);
     const auto found = reported_.find(fingerprint);
@@ -71,7 +71,7 @@
 
 bool Quarantine::wasAnsweredRecently(std::string_view fingerprint) const
 {
-    return answered_.contains(fingerprint) || answeredBefore_.contains(fingerprint);
+    return answered_.contains(fingerprint) || previousAnswered_.contains(fingerprint);
 }
 
 std::optional<Duration> Quarantine::timeLeft(std::string_view fingerprint, BootTime now) const
@@ -80,32 +80,32 @@
     if (found == reported_.end() || found->second.ordinals.size() < options_.limit) {
         return std::nullopt;
     }
-    const BootClock::duration left = found->second.lastEnd + timeOf(found->second) - now;
+    const BootClock::duration left = found->second.lastEnd + quarantineTime(found->second) - now;
     return left.count() > 0 ? std::optional(std::chrono::ceil<Duration>(left)) : std::nullopt;
 }
 
-/** @return how long it is quarantined, or would be if it had as many reports as the limit. */
-BootClock::duration Quarantine::timeOf(const Reports &reports) const
+/** @return the duration of the quarantine; for fewer reports than the limit, the duration of the first one. */
+BootClock::duration Quarantine::quarantineTime(const Reports &reports) const
 {
     const std::size_t further = reports.ordinals.size() - std::min(reports.ordinals.size(), options_.limit);
-    const Duration doubled = options_.time * (1LL << std::min(further, MostDoublings));
-    return std::min(doubled, options_.longestTime);
+    const Duration doubled = options_.time * (1LL << std::min(further, MaxDoublings));
+    return std::min(doubled, options_.maxTime);
 }
 
-/** A request whose quarantine is over is remembered for as long again: its next end quarantines it anew, for longer. */
-BootTime Quarantine::keptUntil(const Reports &reports) const
+/** @return when the reports expire. After a quarantine they are retained for the same time again, so that a further crash leads to a longer one. */
+BootTime Quarantine::retainedUntil(const Reports &reports) const
 {
     const bool wasQuarantined = reports.ordinals.size() >= options_.limit;
-    return reports.lastEnd + timeOf(reports) * (wasQuarantined ? 2 : 1);
+    return reports.lastEnd + quarantineTime(reports) * (wasQuarantined ? 2 : 1);
 }
 
-void Quarantine::makeRoom(BootTime now)
+void Quarantine::evictIfFull(BootTime now)
 {
-    if (reported_.size() < options_.mostReported) {
+    if (reported_.size() < options_.maxReported) {
         return;
     }
-    std::erase_if(reported_, [this, now](const auto &entry) { return now >= keptUntil(entry.second); });
-    if (reported_.size() < options_.mostReported) {
+    std::erase_if(reported_, [this, now](const auto &entry) { return now >= retainedUntil(entry.second); });
+    if (reported_.size() < options_.maxReported) {
         return;
     }
     const auto earlier = [](const auto &one, const auto &other) { return one.second.lastEnd < other.second.lastEnd; };
--- a/libs/routing/src/ratelimitshare.cpp
+++ b/libs/routing/src/ratelimitshare.cpp
@@ -9,61 +9,61 @@
 namespace
 {
 
-// What is drawn at random comes in clusters: half the stated rate keeps them within what an endpoint bears for some seconds.
-constexpr double PartOfLimit = 0.5;
+// Randomly drawn send times cluster. Half the stated rate keeps the clusters within what an endpoint can take for some seconds.
+constexpr double LimitFraction = 0.5;
 
-// Of all entries together. An endpoint that takes nothing is asked now and then whether it still says so.
-constexpr double LeastPerSecond = 0.1;
+// For all entries together. An endpoint that states a limit of zero still gets an occasional request, to find out whether the limit holds.
+constexpr double MinPerSecond = 0.1;
 
-constexpr Duration OpenTime{1000};
+constexpr Duration SendWindow{1000};
 
-// So that an interval fits in a duration, whatever the number of entries.
-constexpr double LongestIntervalSeconds = 3600;
+// Keeps an interval within the range of a duration for any number of entries.
+constexpr double MaxIntervalSeconds = 3600;
 
 } // namespace
 
-bool RateLimitShare::state(double perSecond, std::size_t instances, BootTime now, Random &random)
+bool RateLimitShare::update(double perSecond, std::size_t instances, BootTime now, Random &random)
 {
-    if (isStated_ && perSecond == perSecond_) {
+    if (isLimited_ && perSecond == perSecond_) {
         return false;
     }
-    isStated_ = true;
+    isLimited_ = true;
     perSecond_ = perSecond;
-    drawNext(instances, now, random);
+    scheduleNext(instances, now, random);
     return true;
 }
 
-bool RateLimitShare::lift()
+bool RateLimitShare::clear()
 {
-    const bool wasStated = isStated_;
-    isStated_ = false;
-    return wasStated;
+    const bool wasLimited = isLimited_;
+    isLimited_ = false;
+    return wasLimited;
 }
 
-bool RateLimitShare::mayUse(std::size_t instances, BootTime now, Random &random)
+bool RateLimitShare::canSend(std::size_t instances, BootTime now, Random &random)
 {
-    if (!isStated_) {
+    if (!isLimited_) {
         return true;
     }
-    if (now >= opensAt_ + OpenTime) {
-        drawNext(instances, now, random);
+    if (now >= nextSendAt_ + SendWindow) {
+        scheduleNext(instances, now, random);
     }
-    return now >= opensAt_;
+    return now >= nextSendAt_;
 }
 
-void RateLimitShare::use(std::size_t instances, BootTime now, Random &random)
+void RateLimitShare::consume(std::size_t instances, BootTime now, Random &random)
 {
-    if (isStated_) {
-        drawNext(instances, now, random);
+    if (isLimited_) {
+        scheduleNext(instances, now, random);
     }
 }
 
-void RateLimitShare::drawNext(std::size_t instances, BootTime from, Random &random)
+void RateLimitShare::scheduleNext(std::size_t instances, BootTime from, Random &random)
 {
-    const double rate = std::max(perSecond_ * PartOfLimit, LeastPerSecond) / static_cast<double>(std::max<std::size_t>(instances, 1));
+    const double rate = std::max(perSecond_ * LimitFraction, MinPerSecond) / static_cast<double>(std::max<std::size_t>(instances, 1));
     const double seconds = std::exponential_distribution<double>(rate)(random);
-    const std::chrono::duration<double> interval(std::min(seconds, LongestIntervalSeconds));
-    opensAt_ = from + std::chrono::duration_cast<BootClock::duration>(interval);
+    const std::chrono::duration<double> interval(std::min(seconds, MaxIntervalSeconds));
+    nextSendAt_ = from + std::chrono::duration_cast<BootClock::duration>(interval);
 }
 
 } // namespace magnolia::routing
--- a/libs/routing/src/retryallowance.cpp
+++ b/libs/routing/src/retryallowance.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-// Below 1, since a retry may be counted by the far side into a window that holds fewer of the requests that paid for it.
+// Less than 1, because a retry may fall into another window at the receiver, one with fewer of the requests that allowed it.
 constexpr double ShareUsed = 0.75;
 
-// Of the constant each instance takes a part as if there were twice as many: their number is learnt some seconds late, and
-// an instance that begins anew has forgotten what it used.
+// Each instance uses its part of the constant as if there were twice as many instances, because their number is known some seconds late and a restarted
+// instance has lost its count of used retries.
 constexpr double ConstantReserve = 2;
 
 } // namespace
@@ -21,38 +21,38 @@
 
 void RetryAllowance::onRequest(BootTime now)
 {
-    ++slotAt(now).requests;
+    ++bucketAt(now).requests;
 }
 
 bool RetryAllowance::tryRetry(BootTime now)
 {
-    Slot &current = slotAt(now);
+    Bucket &current = bucketAt(now);
     double requests = 0;
     double retries = 0;
-    for (const Slot &slot : slots_) {
-        if (slot.number > current.number - static_cast<std::int64_t>(SlotCount)) {
-            requests += slot.requests;
-            retries += slot.retries;
+    for (const Bucket &bucket : buckets_) {
+        if (bucket.number > current.number - static_cast<std::int64_t>(BucketCount)) {
+            requests += bucket.requests;
+            retries += bucket.retries;
         }
     }
     const double parts = ConstantReserve * static_cast<double>(std::max<std::size_t>(options_.instances, 1));
-    const double most = options_.share * ShareUsed * requests + options_.constant / parts;
-    if (retries + 1 > most) {
+    const double maxRetries = options_.share * ShareUsed * requests + options_.constant / parts;
+    if (retries + 1 > maxRetries) {
         return false;
     }
     ++current.retries;
     return true;
 }
 
-RetryAllowance::Slot &RetryAllowance::slotAt(BootTime now)
+RetryAllowance::Bucket &RetryAllowance::bucketAt(BootTime now)
 {
-    const auto width = std::max(options_.window / static_cast<int>(SlotCount), Duration(1));
+    const auto width = std::max(options_.window / static_cast<int>(BucketCount), Duration(1));
     const std::int64_t number = now.time_since_epoch() / width;
-    Slot &slot = slots_[static_cast<std::size_t>(number) % SlotCount];
-    if (slot.number != number) {
-        slot = {.number = number, .requests = 0, .retries = 0};
+    Bucket &bucket = buckets_[static_cast<std::size_t>(number) % BucketCount];
+    if (bucket.number != number) {
+        bucket = {.number = number, .requests = 0, .retries = 0};
     }
-    return slot;
+    return bucket;
 }
 
 } // namespace magnolia::routing
--- a/libs/routing/src/routetable.cpp
+++ b/libs/routing/src/routetable.cpp
@@ -25,10 +25,10 @@
 {
     Duration shortest{0};
     for (const Route &route : config.routes) {
-        const bool leadsThere =
+        const bool isTarget =
             std::any_of(route.targets.begin(), route.targets.end(), [service](const RouteTarget &target) { return target.service == service; });
         const bool isShorter = route.pauseObjective.count() > 0 && (shortest.count() == 0 || route.pauseObjective < shortest);
-        shortest = leadsThere && isShorter ? route.pauseObjective : shortest;
+        shortest = isTarget && isShorter ? route.pauseObjective : shortest;
     }
     return shortest;
 }
@@ -54,7 +54,7 @@
     if (routes == hosts_.end()) {
         return nullptr;
     }
-    // Prefixes end with a slash, so only the path's own slashes can end one; the last is tried first.
+    // Prefixes end with a slash, so only slashes of the path can end a match. Starts with the last one, the longest prefix.
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = routes->second.find(path.substr(0, slash + 1));
--- a/libs/routing/tests/attemptpolicytest.cpp
+++ b/libs/routing/tests/attemptpolicytest.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/** A stream that was sent to the first of two endpoints of a service, by a caller that stays for two seconds without an event. */
+/** A stream dispatched to the first of two endpoints of a service; its caller disconnects after two seconds without an event. */
 struct AttemptPolicyFixture {
     AttemptPolicyFixture()
     {
@@ -20,9 +20,9 @@
         route.kind = RouteKind::Stream;
         route.timeout = 8s;
         deadlines.applyRoute(route);
-        table.onDispatch(endpoint(), came, random);
+        table.onDispatch(endpoint(), receivedAt, random);
         endpoint().inFlight = 1;
-        state = {.endpoint = &endpoint(), .sentAt = came, .lastReceivedAt = came, .isConnected = true};
+        state = {.endpoint = &endpoint(), .sentAt = receivedAt, .lastReceivedAt = receivedAt, .isConnected = true};
     }
 
     Endpoint &endpoint() const
@@ -30,16 +30,16 @@
         return *table.find("a");
     }
 
-    AttemptPolicy outlook() const
+    AttemptPolicy policy() const
     {
         return AttemptPolicy({.deadlines = deadlines, .route = route, .endpoints = table, .service = "s"});
     }
 
-    const BootTime came{1h};
+    const BootTime receivedAt{1h};
     Random random{42};
     EndpointTable table{{.dataCentre = "north"}};
     Route route;
-    CallerDeadlines deadlines{{.receivedAt = came, .callerTimeout = Duration(8000)}};
+    CallerDeadlines deadlines{{.receivedAt = receivedAt, .callerTimeout = Duration(8000)}};
     AttemptState state;
 };
 
@@ -47,72 +47,72 @@
 
 BOOST_FIXTURE_TEST_SUITE(AttemptPolicyTest, AttemptPolicyFixture)
 
-// Guards against second sendings for callers who leave before anything can begin elsewhere.
-BOOST_AUTO_TEST_CASE(service_beginsSlowly_sendingIsOfNoUseSoMuchEarlier)
+// Guards against retries for callers that disconnect before another endpoint can send a first event.
+BOOST_AUTO_TEST_CASE(service_slowFirstEvents_latestDispatchIsEarlier)
 {
-    const BootTime now = came + 1s;
-    const BootTime before = outlook().latestUsefulDispatch(now);
-    BOOST_TEST((before < came + 2s));
-    BOOST_TEST((before > came + 1900ms));
+    const BootTime now = receivedAt + 1s;
+    const BootTime before = policy().latestUsefulDispatch(now);
+    BOOST_TEST((before < receivedAt + 2s));
+    BOOST_TEST((before > receivedAt + 1900ms));
     table.onStreamStarted("s", 900ms, now);
-    BOOST_TEST((outlook().latestUsefulDispatch(now) == before - 900ms));
+    BOOST_TEST((policy().latestUsefulDispatch(now) == before - 900ms));
 }
 
-BOOST_AUTO_TEST_CASE(request_isNoStream_isSentUntilItsDeadline)
+BOOST_AUTO_TEST_CASE(request_notAStream_isDispatchedUntilItsDeadline)
 {
     route.kind = RouteKind::Idempotent;
-    CallerDeadlines whole({.receivedAt = came, .callerTimeout = Duration(8000)});
+    CallerDeadlines whole({.receivedAt = receivedAt, .callerTimeout = Duration(8000)});
     whole.applyRoute(route);
     deadlines = whole;
-    table.onStreamStarted("s", 900ms, came);
-    BOOST_TEST((outlook().latestUsefulDispatch(came) == deadlines.deadline()));
+    table.onStreamStarted("s", 900ms, receivedAt);
+    BOOST_TEST((policy().latestUsefulDispatch(receivedAt) == deadlines.deadline()));
 }
 
-// Guards against streams that are moved so late that the other endpoint's first event finds nobody.
-BOOST_AUTO_TEST_CASE(stream_isStuck_isMovedWhileASendingIsStillOfUse)
+// Guards against streams being moved so late that the caller has disconnected before the other endpoint's first event.
+BOOST_AUTO_TEST_CASE(stream_stuck_expiresBeforeTheLatestUsefulDispatch)
 {
-    const BootTime now = came + 500ms;
+    const BootTime now = receivedAt + 500ms;
     table.onStreamStarted("s", 600ms, now);
-    const BootTime moved = outlook().attemptExpiresAt(state, now);
-    BOOST_TEST((moved < outlook().latestUsefulDispatch(now)));
-    BOOST_TEST((moved > came + 1s));
+    const BootTime moved = policy().attemptExpiresAt(state, now);
+    BOOST_TEST((moved < policy().latestUsefulDispatch(now)));
+    BOOST_TEST((moved > receivedAt + 1s));
 }
 
-// Guards against streams that go on being moved at their next pause, since the service takes long to begin others.
-BOOST_AUTO_TEST_CASE(stream_goesOnWhileOthersBeginSlowly_isLeftAlone)
+// Guards against a progressing stream being moved at its next pause because first events of other streams take long.
+BOOST_AUTO_TEST_CASE(stream_progressesWhileOthersStartSlowly_doesNotExpire)
 {
-    const BootTime now = came + 1s;
+    const BootTime now = receivedAt + 1s;
     table.onStreamStarted("s", 1800ms, now);
     deadlines.onEventSent(now);
     state.hasAnswer = true;
     state.lastReceivedAt = now;
-    BOOST_TEST((outlook().attemptExpiresAt(state, now) >= now + 400ms));
+    BOOST_TEST((policy().attemptExpiresAt(state, now) >= now + 400ms));
 }
 
-BOOST_AUTO_TEST_CASE(sending_isNotConnected_isGivenUpAfterTheConnectTimeout)
+BOOST_AUTO_TEST_CASE(attempt_notConnected_expiresAfterTheConnectTimeout)
 {
     state.isConnected = false;
-    BOOST_TEST((outlook().attemptExpiresAt(state, came) == came + ConnectTimeout));
+    BOOST_TEST((policy().attemptExpiresAt(state, receivedAt) == receivedAt + ConnectTimeout));
 }
 
-// Guards against streams being moved within a service that stands still, where nothing can begin either.
-BOOST_AUTO_TEST_CASE(endpoint_isOutOfReachAndNobodySpeaks_requestIsNotLeftBehind)
+// Guards against streams being moved within a stalled service, where no other endpoint would start them either.
+BOOST_AUTO_TEST_CASE(endpoint_unresponsiveAndAllSilent_requestIsNotOvertaken)
 {
     endpoint().isUnresponsive = true;
-    BOOST_TEST(!outlook().isOvertaken(state));
-    table.onDataReceived(*table.find("b"), came + 600ms);
-    BOOST_TEST(outlook().isOvertaken(state));
+    BOOST_TEST(!policy().isOvertaken(state));
+    table.onDataReceived(*table.find("b"), receivedAt + 600ms);
+    BOOST_TEST(policy().isOvertaken(state));
 }
 
-// Guards against streams that wait for their turn being taken for streams in trouble.
-BOOST_AUTO_TEST_CASE(stream_waitsWithAllOthers_isNotLeftBehind)
+// Guards against queued streams being taken for stuck ones.
+BOOST_AUTO_TEST_CASE(stream_waitsLikeAllOthers_isNotOvertaken)
 {
-    table.onDataReceived(endpoint(), came + 1s);
-    BOOST_TEST(!outlook().isOvertaken(state));
-    table.onAnswerStarted(*table.find("b"), came + 500ms);
-    BOOST_TEST(!outlook().isOvertaken(state));
-    table.onAnswerStarted(endpoint(), came + 100ms);
-    BOOST_TEST(outlook().isOvertaken(state));
+    table.onDataReceived(endpoint(), receivedAt + 1s);
+    BOOST_TEST(!policy().isOvertaken(state));
+    table.onAnswerStarted(*table.find("b"), receivedAt + 500ms);
+    BOOST_TEST(!policy().isOvertaken(state));
+    table.onAnswerStarted(endpoint(), receivedAt + 100ms);
+    BOOST_TEST(policy().isOvertaken(state));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/routing/tests/callerdeadlinestest.cpp
+++ b/libs/routing/tests/callerdeadlinestest.cpp
@@ -10,12 +10,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration Stated{8000};
+constexpr Duration CallerTimeout{8000};
 
-// What a test allows for the answer's way to the caller.
-constexpr Duration MostMargin{100};
+// Largest margin that a deadline may have before the caller disconnects.
+constexpr Duration MaxMargin{100};
 
-/** A request that came at a known time. */
+/** A request that was received at a known time. */
 struct CallerDeadlinesFixture {
     static Route route(RouteKind kind, Duration timeout)
     {
@@ -25,74 +25,74 @@
         return route;
     }
 
-    /** @return true if that is before a time at which the caller leaves, but hardly. */
+    /** @return true if the deadline is before the caller disconnects, by no more than MaxMargin. */
     static bool isJustBefore(BootTime due, BootTime leaves)
     {
-        return due < leaves && due > leaves - MostMargin;
+        return due < leaves && due > leaves - MaxMargin;
     }
 
-    const BootTime came{1h};
-    CallerDeadlines bounds{{.receivedAt = came, .callerTimeout = Stated}};
+    const BootTime receivedAt{1h};
+    CallerDeadlines deadlines{{.receivedAt = receivedAt, .callerTimeout = CallerTimeout}};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(CallerDeadlinesTest, CallerDeadlinesFixture)
 
-BOOST_AUTO_TEST_CASE(request_routeIsNotKnown_staysUntilItsStatedDeadline)
+BOOST_AUTO_TEST_CASE(request_routeUnknown_hasTheCallersTimeout)
 {
-    BOOST_TEST(isJustBefore(bounds.deadline(), came + Stated));
-    BOOST_TEST((bounds.nextEventDeadline() == bounds.deadline()));
+    BOOST_TEST(isJustBefore(deadlines.deadline(), receivedAt + CallerTimeout));
+    BOOST_TEST((deadlines.nextEventDeadline() == deadlines.deadline()));
 }
 
-BOOST_AUTO_TEST_CASE(request_isNoStream_staysUntilTheSoonerOfDeadlineAndTimeout)
+BOOST_AUTO_TEST_CASE(request_notAStream_hasTheEarlierOfCallerAndRouteTimeout)
 {
-    bounds.applyRoute(route(RouteKind::Idempotent, 9s));
-    BOOST_TEST(isJustBefore(bounds.deadline(), came + Stated));
-    bounds.applyRoute(route(RouteKind::Idempotent, 3s));
-    BOOST_TEST((bounds.deadline() == came + 3s));
-    BOOST_TEST((bounds.nextEventDeadline() == bounds.deadline()));
+    deadlines.applyRoute(route(RouteKind::Idempotent, 9s));
+    BOOST_TEST(isJustBefore(deadlines.deadline(), receivedAt + CallerTimeout));
+    deadlines.applyRoute(route(RouteKind::Idempotent, 3s));
+    BOOST_TEST((deadlines.deadline() == receivedAt + 3s));
+    BOOST_TEST((deadlines.nextEventDeadline() == deadlines.deadline()));
 }
 
-// Guards against streams that are kept until the route's timeout while their callers leave after a gap.
-BOOST_AUTO_TEST_CASE(stream_withoutAnEvent_isLeftAfterTheShortestGap)
+// Guards against streams being kept until the route's timeout although their callers disconnect after a gap.
+BOOST_AUTO_TEST_CASE(stream_noEvent_isDueBeforeTheMinimumGap)
 {
-    bounds.applyRoute(route(RouteKind::Stream, 8s));
-    BOOST_TEST(isJustBefore(bounds.nextEventDeadline(), came + 2s));
-    BOOST_TEST(isJustBefore(bounds.deadline(), came + 8s));
+    deadlines.applyRoute(route(RouteKind::Stream, 8s));
+    BOOST_TEST(isJustBefore(deadlines.nextEventDeadline(), receivedAt + 2s));
+    BOOST_TEST(isJustBefore(deadlines.deadline(), receivedAt + 8s));
 }
 
-BOOST_AUTO_TEST_CASE(stream_longObjectives_areWaitedForLonger)
+BOOST_AUTO_TEST_CASE(stream_longObjectives_extendTheGap)
 {
     Route slow = route(RouteKind::Stream, 8s);
     slow.latencyObjective = 700ms;
-    bounds.applyRoute(slow);
-    BOOST_TEST(isJustBefore(bounds.nextEventDeadline(), came + 2800ms));
+    deadlines.applyRoute(slow);
+    BOOST_TEST(isJustBefore(deadlines.nextEventDeadline(), receivedAt + 2800ms));
     slow.pauseObjective = 400ms;
-    bounds.applyRoute(slow);
-    BOOST_TEST(isJustBefore(bounds.nextEventDeadline(), came + 3200ms));
+    deadlines.applyRoute(slow);
+    BOOST_TEST(isJustBefore(deadlines.nextEventDeadline(), receivedAt + 3200ms));
 }
 
-BOOST_AUTO_TEST_CASE(stream_eventIsSent_gapBeginsAnewUpToTheDeadline)
+BOOST_AUTO_TEST_CASE(stream_eventSent_restartsTheGapUpToTheDeadline)
 {
-    bounds.applyRoute(route(RouteKind::Stream, 8s));
-    bounds.onEventSent(came + 1500ms);
-    BOOST_TEST(isJustBefore(bounds.nextEventDeadline(), came + 3500ms));
-    bounds.onEventSent(came + 7s);
-    BOOST_TEST((bounds.nextEventDeadline() == bounds.deadline()));
+    deadlines.applyRoute(route(RouteKind::Stream, 8s));
+    deadlines.onEventSent(receivedAt + 1500ms);
+    BOOST_TEST(isJustBefore(deadlines.nextEventDeadline(), receivedAt + 3500ms));
+    deadlines.onEventSent(receivedAt + 7s);
+    BOOST_TEST((deadlines.nextEventDeadline() == deadlines.deadline()));
 }
 
-BOOST_AUTO_TEST_CASE(stream_statesLessThanTheGap_isLeftAtItsDeadline)
+BOOST_AUTO_TEST_CASE(stream_callerTimeoutBelowTheGap_isDueAtTheDeadline)
 {
-    CallerDeadlines hurried({.receivedAt = came, .callerTimeout = Duration(900)});
+    CallerDeadlines hurried({.receivedAt = receivedAt, .callerTimeout = Duration(900)});
     hurried.applyRoute(route(RouteKind::Stream, 8s));
-    BOOST_TEST(isJustBefore(hurried.nextEventDeadline(), came + 900ms));
+    BOOST_TEST(isJustBefore(hurried.nextEventDeadline(), receivedAt + 900ms));
 }
 
-BOOST_AUTO_TEST_CASE(request_statesNothing_hasTheUsualTime)
+BOOST_AUTO_TEST_CASE(request_noCallerTimeout_hasTheDefaultTimeout)
 {
-    const CallerDeadlines silent({.receivedAt = came});
-    BOOST_TEST((silent.deadline() > came + 20s));
+    const CallerDeadlines silent({.receivedAt = receivedAt});
+    BOOST_TEST((silent.deadline() > receivedAt + 20s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/routing/tests/concurrencylimittest.cpp
+++ b/libs/routing/tests/concurrencylimittest.cpp
@@ -14,8 +14,8 @@
 constexpr Duration Objective{120};
 
 struct LimitFixture {
-    /** Endpoints report so many of ten places as taken. */
-    void endpointsRun(std::uint32_t running)
+    /** Adds a load report with the given number of ten slots in use. */
+    void reportRunning(std::uint32_t running)
     {
         limit.onLoadReport({.running = running, .waiting = 0, .slots = 10}, Start);
     }
@@ -36,72 +36,72 @@
 
 BOOST_AUTO_TEST_CASE(pauses_withinTheObjective_setNoLimit)
 {
-    endpointsRun(9);
+    reportRunning(9);
     limit.onPause(pauseOf(119ms, 40), steps, Start);
     BOOST_TEST(!limit.limit(Start).has_value());
     BOOST_TEST(limit.canAdmit(100'000, Start));
 }
 
-BOOST_AUTO_TEST_CASE(pause_tooLongUnderLoad_setsTheLimitBelowWhatIsInProgress)
+BOOST_AUTO_TEST_CASE(pause_tooLongUnderLoad_setsTheLimitBelowTheStreamsInProgress)
 {
-    endpointsRun(9);
+    reportRunning(9);
     limit.onPause(pauseOf(140ms, 40), steps, Start);
     BOOST_TEST(limit.canAdmit(33, Start));
     BOOST_TEST(!limit.canAdmit(40, Start));
 }
 
-BOOST_AUTO_TEST_CASE(onePass_seenByManyStreams_countsOnce)
+BOOST_AUTO_TEST_CASE(pass_observedByManyStreams_lowersTheLimitOnce)
 {
-    endpointsRun(9);
+    reportRunning(9);
     for (std::size_t stream = 40; stream > 0; --stream) {
         limit.onPause(pauseOf(140ms, stream), steps, Start + 1ms);
     }
     BOOST_TEST(limit.canAdmit(33, Start + 1ms));
 }
 
-BOOST_AUTO_TEST_CASE(pauses_inTimeAgain_letTheLimitGrow)
+BOOST_AUTO_TEST_CASE(pauses_withinTheObjectiveAgain_limitGrows)
 {
-    endpointsRun(9);
+    reportRunning(9);
     limit.onPause(pauseOf(140ms, 40), steps, Start);
     BOOST_TEST(!limit.canAdmit(40, Start + 1s));
     BOOST_TEST(limit.canAdmit(40, Start + 20s));
 }
 
-// Symptom: callers were refused although the engines had places. Sequence: demand moved while few streams were in progress;
-// passes were long for a moment. Cause: lateness taken for load whatever the load.
+// Guards against callers being rejected although the engines have free slots: when demand shifts while few streams are in progress, passes are briefly
+// long, and such a pause must not be attributed to load.
 BOOST_AUTO_TEST_CASE(pause_tooLongWithoutLoad_setsNoLimit)
 {
-    endpointsRun(3);
+    reportRunning(3);
     limit.onPause(pauseOf(140ms, 40), steps, Start);
     BOOST_TEST(!limit.limit(Start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(pause_farTooLong_isNoSignOfLoad)
+BOOST_AUTO_TEST_CASE(pause_farTooLong_setsNoLimit)
 {
-    endpointsRun(9);
-    limit.onPause(pauseOf(2s, 40), steps, Start); // A rank is gone, or its group is held.
+    reportRunning(9);
+    limit.onPause(pauseOf(2s, 40), steps, Start); // A rank is down, or its group is held.
     BOOST_TEST(!limit.limit(Start).has_value());
-    limit.onPause(pauseOf(200ms, 40), steps, Start); // Demand has just moved: half as many streams would have been late as well.
+    limit.onPause(pauseOf(200ms, 40), steps, Start); // Demand has just shifted: half as many streams would have missed the objective too.
     BOOST_TEST(!limit.limit(Start).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(engines_withoutAStepModel_setNoLimit)
 {
-    endpointsRun(9);
+    reportRunning(9);
     limit.onPause(pauseOf(140ms, 40), {}, Start);
     BOOST_TEST(!limit.limit(Start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(limit_fewInProgress_leavesSome)
+BOOST_AUTO_TEST_CASE(pause_fewInProgress_keepsTheMinimumLimit)
 {
-    endpointsRun(9);
+    reportRunning(9);
     limit.onPause(pauseOf(140ms, 1), steps, Start);
     BOOST_TEST(limit.canAdmit(3, Start));
 }
 
 BOOST_AUTO_TEST_CASE(route_withoutObjective_setsNoLimit)
 {
-    endpointsRun(9);
+    reportRunning(9);
     ConcurrencyLimit::Pause pause = pauseOf(140ms, 40);
     pause.objective = Duration(0);
     limit.onPause(pause, steps, Start);
--- a/libs/routing/tests/endpointtabletest.cpp
+++ b/libs/routing/tests/endpointtabletest.cpp
@@ -23,11 +23,11 @@
         }
     }
 
-    std::map<std::string, int> choices(int count, std::vector<std::string> tried = {})
+    std::map<std::string, int> choices(int count, std::vector<std::string> excludedIds = {})
     {
         std::map<std::string, int> chosen;
         for (int index = 0; index < count; ++index) {
-            const auto endpoint = table.choose({.service = "s", .excluded = tried}, Now, random);
+            const auto endpoint = table.choose({.service = "s", .excluded = excludedIds}, Now, random);
             ++chosen[endpoint == nullptr ? "none" : endpoint->record.id];
         }
         return chosen;
@@ -50,8 +50,8 @@
     }
 }
 
-// Guards against an endpoint that is back staying without requests, since what its earlier run did is held against it.
-BOOST_AUTO_TEST_CASE(endpoint_startsAgainUnderItsId_nothingOfBeforeHolds)
+// Guards against a restarted endpoint getting no requests because of failures of its earlier run.
+BOOST_AUTO_TEST_CASE(endpoint_restartsUnderItsId_hasFreshState)
 {
     EndpointRecord record{.id = "a", .service = "s", .address = "10.0.0.1:80", .dataCentre = "north", .slots = 4, .incarnation = 1000};
     table.put(record);
@@ -67,11 +67,11 @@
     BOOST_TEST(after->inFlight == 0U);
     BOOST_TEST(after->failures == 0U);
     BOOST_TEST((after->groupAvoidUntil == BootTime()));
-    before->inFlight = 3; // What ends late counts for the run that it was sent to.
+    before->inFlight = 3; // Attempts that end later count for the run to which they were dispatched.
     BOOST_TEST(after->inFlight == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_entryOfItsEarlierRunComesLate_isNotBelieved)
+BOOST_AUTO_TEST_CASE(endpoint_outdatedRecordOfEarlierRun_isIgnored)
 {
     EndpointRecord record{.id = "a", .service = "s", .address = "10.0.0.1:80", .dataCentre = "north", .slots = 4, .incarnation = 2000};
     table.put(record);
@@ -82,7 +82,7 @@
     BOOST_TEST(table.find("a")->record.incarnation == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_entryWithoutItsStart_isOfTheSameRun)
+BOOST_AUTO_TEST_CASE(endpoint_recordWithoutIncarnation_updatesTheSameRun)
 {
     table.put({.id = "a", .service = "s", .address = "10.0.0.1:80", .dataCentre = "north", .slots = 4, .incarnation = 5});
     const EndpointPointer before = table.find("a");
@@ -92,15 +92,15 @@
     BOOST_TEST(before->record.incarnation == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_ownRequestsThere_isNotTaken)
+BOOST_AUTO_TEST_CASE(endpoint_hasOwnRequestsInFlight_isNotChosen)
 {
     table.find("a")->inFlight = 2;
     table.find("b")->inFlight = 1;
     BOOST_TEST(choices(50)["c"] == 50);
 }
 
-// Guards against requests that ran beside the cause of an endpoint's end meeting the next end beside it too.
-BOOST_AUTO_TEST_CASE(endpoint_runsASuspect_isTakenByAnotherOnlyIfThereIsNoElse)
+// Guards against innocent suspects running next to the cause of a crash again, and being reported for its next crash too.
+BOOST_AUTO_TEST_CASE(endpoint_runsASuspect_isChosenForAnotherSuspectOnlyIfThereIsNoOther)
 {
     table.find("a")->suspectRequests = 1;
     table.find("b")->suspectRequests = 1;
@@ -108,11 +108,11 @@
     const auto chosen = [this] { return table.choose({.service = "s", .isSuspect = true}, Now, random)->record.id; };
     BOOST_TEST(chosen() == "c");
     table.find("c")->suspectRequests = 1;
-    BOOST_TEST(chosen() != "c"); // By load then.
-    BOOST_TEST(table.choose({.service = "s"}, Now, random)->record.id != "c"); // Others go by load all the while.
+    BOOST_TEST(chosen() != "c"); // Then the load decides.
+    BOOST_TEST(table.choose({.service = "s"}, Now, random)->record.id != "c"); // For other requests the load decides.
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_othersRequestsReported_isNotTakenUntilTheReportIsOld)
+BOOST_AUTO_TEST_CASE(endpoint_reportsOthersRequests_isNotChosenUntilTheReportIsOld)
 {
     for (const char *id : {"a", "b"}) {
         EndpointTable::onLoadReport(*table.find(id), {.running = 4, .waiting = 2, .slots = 4}, Now - 100ms);
@@ -121,7 +121,7 @@
     BOOST_TEST(EndpointTable::expectedLoad(*table.find("a"), Now + 10s) < 0.1);
 }
 
-BOOST_AUTO_TEST_CASE(report_holdsOwnRequests_countsThemOnce)
+BOOST_AUTO_TEST_CASE(report_includesOwnRequests_countsThemOnce)
 {
     const auto endpoint = table.find("a");
     endpoint->inFlight = 3;
@@ -129,7 +129,7 @@
     BOOST_TEST(EndpointTable::expectedLoad(*endpoint, Now) == 3);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_failed_isAvoidedForAWhileThenTriedAgain)
+BOOST_AUTO_TEST_CASE(endpoint_failed_isAvoidedDuringTheBackoff)
 {
     EndpointTable::onAttemptEnded(*table.find("a"), AttemptOutcome::Failed, Now);
     BOOST_TEST(!choices(50).contains("a"));
@@ -138,8 +138,8 @@
     BOOST_TEST(choices(300).contains("a"));
 }
 
-// Guards against streams being sent to an endpoint while it is asked for a sign of life.
-BOOST_AUTO_TEST_CASE(endpoint_isInDoubt_isNotTaken)
+// Guards against streams being dispatched to an endpoint during its liveness check.
+BOOST_AUTO_TEST_CASE(endpoint_suspected_isNotChosen)
 {
     const EndpointPointer silent = table.find("a");
     silent->isSuspected = true;
@@ -150,8 +150,9 @@
     BOOST_TEST(choices(100)["a"] == 100);
 }
 
-// Guards against new work crowding at whichever endpoint speaks first after a long pass, since its sound peers are taken for silent until their word comes.
-BOOST_AUTO_TEST_CASE(endpoint_firstOfItsPeersToSpeak_isNotTheOnlyOneTaken)
+// Guards against all new requests going to the endpoint that sends data first after a long pass, with its healthy peers taken for silent until they send
+// theirs.
+BOOST_AUTO_TEST_CASE(endpoint_firstToSendDataInAPass_isNotTheOnlyOneChosen)
 {
     for (const char *id : {"a", "b", "c"}) {
         const EndpointPointer endpoint = table.find(id);
@@ -159,15 +160,15 @@
         endpoint->inFlight = 1;
         table.onDataReceived(*endpoint, Now - 500ms);
     }
-    table.onDataReceived(*table.find("b"), Now); // The words of one pass come within a few milliseconds.
+    table.onDataReceived(*table.find("b"), Now); // The events of one pass arrive within a few milliseconds.
     const auto chosen = choices(300);
     BOOST_TEST(chosen.size() == 3U);
     table.find("b")->unstartedStreams = 1;
     BOOST_TEST(table.canAdmitStream("s", Now, random));
 }
 
-// Guards against streams being let in for an endpoint that is avoided, and then queueing at another one.
-BOOST_AUTO_TEST_CASE(opening_onlyAnAvoidedEndpointHasNoneToBegin_isNone)
+// Guards against streams being admitted because of an avoided endpoint and then queueing at another one.
+BOOST_AUTO_TEST_CASE(admission_onlyAnAvoidedEndpointIsFree_isDenied)
 {
     for (const char *id : {"a", "b"}) {
         table.find(id)->inFlight = 1;
@@ -178,7 +179,7 @@
     BOOST_TEST(!table.canAdmitStream("s", Now, random));
 }
 
-BOOST_AUTO_TEST_CASE(opening_allEndpointsAreAvoided_isThereForOneAtEach)
+BOOST_AUTO_TEST_CASE(admission_allEndpointsAvoided_isGrantedForOneStreamEach)
 {
     for (const char *id : {"a", "b", "c"}) {
         EndpointTable::onAttemptEnded(*table.find(id), AttemptOutcome::Failed, Now);
@@ -190,7 +191,7 @@
     BOOST_TEST(!table.canAdmitStream("s", Now, random));
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_failsInARow_isAvoidedLongerUpToABound)
+BOOST_AUTO_TEST_CASE(endpoint_failsRepeatedly_backoffGrowsUpToTheMaximum)
 {
     const auto endpoint = table.find("a");
     BootTime last = Now;
@@ -202,13 +203,13 @@
     BOOST_TEST((last <= Now + 5s));
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_refusesForWantOfRoom_isNoSignOfSickness)
+BOOST_AUTO_TEST_CASE(endpoint_rejectsWhenFull_isNotCountedAsFailure)
 {
     EndpointTable::onAttemptEnded(*table.find("a"), AttemptOutcome::Refused, Now);
     BOOST_TEST(table.find("a")->failures == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(allEndpoints_avoided_areTakenAllTheSame)
+BOOST_AUTO_TEST_CASE(allEndpoints_avoided_areStillChosen)
 {
     for (const char *id : {"a", "b", "c"}) {
         EndpointTable::onAttemptEnded(*table.find(id), AttemptOutcome::Unreachable, Now);
@@ -216,25 +217,25 @@
     BOOST_TEST(!choices(50).contains("none"));
 }
 
-// Guards against requests that give up after two ranks of one group, all of which refuse while it forms anew.
-BOOST_AUTO_TEST_CASE(endpoint_refusesForAPeer_wholeGroupIsPassedOverUntilOneAnswers)
+// Guards against requests failing after attempts at two ranks of one group, all of which reject requests while the group forms again.
+BOOST_AUTO_TEST_CASE(endpoint_rejectsForAPeer_groupIsAvoidedUntilOneAnswers)
 {
     for (const char *id : {"a", "b", "c"}) {
         table.put({.id = id, .service = "s", .address = std::string(id) + ":80", .dataCentre = "north", .slots = 4});
     }
     table.onRefusedForPeer(*table.find("a"), "b:80", Now);
-    BOOST_TEST(choices(50)["c"] == 50); // Of another group as far as is known.
+    BOOST_TEST(choices(50)["c"] == 50); // Not known to be in the group.
     table.onRefusedForPeer(*table.find("c"), "b:80", Now);
     const auto endpoint = table.choose({.service = "s"}, Now, random);
     BOOST_TEST((endpoint->groupAvoidUntil > Now));
     table.onDispatch(*endpoint, Now + 1s, random);
-    BOOST_TEST((table.find("a")->groupAvoidUntil > Now + 1s)); // One is tried, the others wait.
+    BOOST_TEST((table.find("a")->groupAvoidUntil > Now + 1s)); // One request probes the group, the others wait.
     BOOST_TEST(table.onGroupAnswer(*table.find("c")));
     BOOST_TEST(!table.onGroupAnswer(*table.find("a")));
     BOOST_TEST((table.find("b")->groupAvoidUntil == BootTime()));
 }
 
-BOOST_AUTO_TEST_CASE(endpoints_refuseForOneThatLeftTheList_areOneGroup)
+BOOST_AUTO_TEST_CASE(endpoints_rejectForOneNotOnTheList_areOneGroup)
 {
     table.onRefusedForPeer(*table.find("a"), "gone:80", Now);
     table.onRefusedForPeer(*table.find("b"), "gone:80", Now);
@@ -245,7 +246,7 @@
     BOOST_TEST(table.find("a")->group == table.find("c")->group);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_leavingOrGone_isNeverTaken)
+BOOST_AUTO_TEST_CASE(endpoint_leavingOrRemoved_isNeverChosen)
 {
     table.put({.id = "a", .service = "s", .address = "10.0.0.1:80", .dataCentre = "north", .slots = 4, .isLeaving = true});
     const auto held = table.find("b");
@@ -255,14 +256,14 @@
     BOOST_TEST(choices(1, {"c"})["none"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(address_usedByAnotherService_isAnotherEndpoint)
+BOOST_AUTO_TEST_CASE(address_reusedByAnotherService_isAnotherEndpoint)
 {
     table.put({.id = "d", .service = "t", .address = "10.0.0.1:80", .dataCentre = "north", .slots = 1});
     BOOST_TEST(!choices(100).contains("d"));
     BOOST_TEST(table.endpointsOf("t").size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(endpoint_inThisDataCentre_isTakenAmongEquals)
+BOOST_AUTO_TEST_CASE(endpoint_inTheSameDataCentre_isPreferredAtEqualLoad)
 {
     for (const char *id : {"b", "c"}) {
         table.put({.id = id, .service = "s", .address = "10.0.0.1:80", .dataCentre = "south", .slots = 4});
--- a/libs/routing/tests/fingerprinttest.cpp
+++ b/libs/routing/tests/fingerprinttest.cpp
@@ -18,7 +18,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(FingerprintTest, FingerprintFixture)
 
-BOOST_AUTO_TEST_CASE(fingerprint_sameRequest_isTheSameOnEachInstanceAndVersion)
+BOOST_AUTO_TEST_CASE(fingerprint_sameRequest_isStableAcrossInstancesAndVersions)
 {
     BOOST_TEST(fingerprintOf(usual) == "cd6401929f1b0dc0e0b7fcdc25bc8ab9");
 }
@@ -33,9 +33,9 @@
     BOOST_TEST(fingerprintOf({.method = "POST", .host = "h", .target = "/orders/7?a=1", .organisation = "south", .body = "texts"}) != own);
 }
 
-BOOST_AUTO_TEST_CASE(fingerprint_textMovedFromOnePartToTheNext_differs)
+BOOST_AUTO_TEST_CASE(fingerprint_textMovedToTheNextPart_differs)
 {
-    // Guards against one organisation's request being taken for another's by moving text across a boundary.
+    // Guards against forging the fingerprint of another organisation's request by moving text across a part boundary.
     BOOST_TEST(fingerprintOf({.method = "POST", .host = "h", .target = "/a", .organisation = "ab", .body = "c"})
                != fingerprintOf({.method = "POST", .host = "h", .target = "/a", .organisation = "a", .body = "bc"}));
 }
--- a/libs/routing/tests/firsteventlatencytest.cpp
+++ b/libs/routing/tests/firsteventlatencytest.cpp
@@ -12,41 +12,41 @@
 
 struct FirstEventLatencyFixture {
     const BootTime now{1h};
-    FirstEventLatency times;
+    FirstEventLatency latency;
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(FirstEventLatencyTest, FirstEventLatencyFixture)
 
-BOOST_AUTO_TEST_CASE(service_hasBegunNothing_isExpectedToBeginAtOnce)
+BOOST_AUTO_TEST_CASE(noStreamStarted_shortest_isZero)
 {
-    BOOST_TEST((times.shortest(now) == 0ms));
+    BOOST_TEST((latency.shortest(now) == 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(streams_beganAfterDifferentTimes_shortestIsTold)
+BOOST_AUTO_TEST_CASE(streams_differentLatencies_minimumIsReturned)
 {
-    times.began(700ms, now);
-    times.began(400ms, now + 100ms);
-    times.began(900ms, now + 200ms);
-    BOOST_TEST((times.shortest(now + 300ms) == 400ms));
+    latency.record(700ms, now);
+    latency.record(400ms, now + 100ms);
+    latency.record(900ms, now + 200ms);
+    BOOST_TEST((latency.shortest(now + 300ms) == 400ms));
 }
 
-BOOST_AUTO_TEST_CASE(service_becomesSlower_shorterTimesAreForgotten)
+BOOST_AUTO_TEST_CASE(service_becomesSlower_shorterLatenciesExpire)
 {
-    times.began(100ms, now);
+    latency.record(100ms, now);
     for (Duration passed = 100ms; passed <= 1200ms; passed += 100ms) {
-        times.began(800ms, now + passed);
+        latency.record(800ms, now + passed);
     }
-    BOOST_TEST((times.shortest(now + 1200ms) == 800ms));
+    BOOST_TEST((latency.shortest(now + 1200ms) == 800ms));
 }
 
-// Guards against a service being sent nothing for ever since it once was too slow.
-BOOST_AUTO_TEST_CASE(service_beginsNothingForLong_isTriedAgain)
+// Guards against a service that was once too slow never getting a request again.
+BOOST_AUTO_TEST_CASE(noStreamStartedForLong_shortest_isZeroAgain)
 {
-    times.began(2500ms, now);
-    BOOST_TEST((times.shortest(now + 400ms) == 2500ms));
-    BOOST_TEST((times.shortest(now + 1100ms) == 0ms));
+    latency.record(2500ms, now);
+    BOOST_TEST((latency.shortest(now + 400ms) == 2500ms));
+    BOOST_TEST((latency.shortest(now + 1100ms) == 0ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/routing/tests/knowledgetest.cpp
+++ b/libs/routing/tests/knowledgetest.cpp
@@ -32,7 +32,7 @@
     BOOST_TEST(!proof.isFresh(Start + 4801ms));
 }
 
-BOOST_AUTO_TEST_CASE(proof_lateAnswer_doesNotAgeIt)
+BOOST_AUTO_TEST_CASE(proof_outdatedConfirmation_doesNotAgeIt)
 {
     FreshnessProof proof({.bound = 5000ms, .margin = 0ms});
     proof.confirm(Start + 3s);
@@ -40,13 +40,13 @@
     BOOST_TEST(proof.isFresh(Start + 8s));
 }
 
-BOOST_AUTO_TEST_CASE(proof_neverHad_isNotFresh)
+BOOST_AUTO_TEST_CASE(proof_neverConfirmed_isNotFresh)
 {
     const FreshnessProof proof(FreshnessProof::Options{});
     BOOST_TEST(!proof.isFresh(BootClock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(proof_boundZero_isNotAskedFor)
+BOOST_AUTO_TEST_CASE(proof_boundZero_isAlwaysFresh)
 {
     const FreshnessProof proof({.bound = 0ms});
     BOOST_TEST(proof.isFresh(Start));
@@ -56,9 +56,9 @@
 
 BOOST_AUTO_TEST_SUITE(RetryAllowanceTest)
 
-// Symptom: together the instances sent more retries than the budget allows. Sequence: callers were spread very unevenly, and
-// each instance kept to an equal part of the whole. Cause: a part that does not follow an instance's own requests.
-BOOST_AUTO_TEST_CASE(manyInstances_unevenCallers_sumHoldsInEveryWindow)
+// Guards against the instances together sending more retries than the budget allows when callers are distributed unevenly: each instance's part must
+// depend on its own requests instead of being an equal part of the total.
+BOOST_AUTO_TEST_CASE(manyInstances_unevenCallers_totalIsWithinBudgetInEveryWindow)
 {
     constexpr double Share = 0.2;
     constexpr double Constant = 90;
@@ -73,7 +73,7 @@
                 const BootTime now = Start + std::chrono::seconds(second) + request * 1000ms / perSecond[index];
                 instances[index].onRequest(now);
                 ++requests[second];
-                retries[second] += instances[index].tryRetry(now) ? 1 : 0; // Every request wants one.
+                retries[second] += instances[index].tryRetry(now) ? 1 : 0; // Every request asks for a retry.
             }
         }
     }
@@ -100,9 +100,9 @@
     BOOST_TEST(allowed <= 90 / 8);
 }
 
-// Symptom: a deployment of hundreds of entries passed its retry budget when a group crashed. Sequence: each entry took its
-// fixed part of the constant. Cause: a part that does not follow the number of instances.
-BOOST_AUTO_TEST_CASE(constant_manyOrFewInstances_sumHoldsAndHalfIsUsed)
+// Guards against a deployment of hundreds of entries exceeding its retry budget when a group crashes: the part of the constant must depend on the number
+// of instances instead of being fixed.
+BOOST_AUTO_TEST_CASE(constant_anyNumberOfInstances_totalIsWithinBudgetAndHalfIsUsed)
 {
     for (const std::size_t instances : {1U, 4U, 14U, 45U}) {
         int allowed = 0;
@@ -118,10 +118,10 @@
     }
     RetryAllowance one({.share = 0.2, .constant = 90, .window = 10s});
     one.setInstances(420);
-    BOOST_TEST(!one.tryRetry(Start)); // What is left for each is less than one.
+    BOOST_TEST(!one.tryRetry(Start)); // The part of each instance is less than one.
 }
 
-BOOST_AUTO_TEST_CASE(retries_windowOver_areAllowedAgain)
+BOOST_AUTO_TEST_CASE(retries_afterTheWindow_areAllowedAgain)
 {
     RetryAllowance allowance({.share = 0, .constant = 16, .window = 10s});
     BOOST_TEST(allowance.tryRetry(Start));
@@ -151,13 +151,13 @@
         roster.put(recordOf(id));
     }
 
-    /** The list was last known to serve so long before the start, when it is heard of again. */
-    void listSilentFor(Duration silence)
+    /** The list was last known to be available this long before Start. */
+    void setListSilentFor(Duration silence)
     {
         roster.onListConfirmed(Start - silence, Start - silence);
     }
 
-    // Entries lapse after three renewals are missed, so in an outage of 2.4 s at the soonest.
+    // Entries expire after three missed renewals, so in an outage of at least 2.4 s.
     EndpointRoster roster{{.renewalInterval = 1200ms, .recoveryTime = 2200ms}};
 };
 
@@ -165,18 +165,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(EndpointRosterTest, EndpointRosterFixture)
 
-BOOST_AUTO_TEST_CASE(entry_removed_isGoneAtOnce)
+BOOST_AUTO_TEST_CASE(entry_removed_isDueAtOnce)
 {
     roster.onEntryRemoved("a", Start);
     BOOST_TEST(roster.takeDueRemovals(Start) == (Ids{"a"}), boost::test_tools::per_element());
     BOOST_TEST(roster.takeDueRemovals(Start + 1h).empty());
 }
 
-BOOST_AUTO_TEST_CASE(entries_lapsedInAnOutage_stayUntilTheyCouldBeBack)
+BOOST_AUTO_TEST_CASE(entries_expiredInAnOutage_areRetainedForTheRecoveryTime)
 {
-    // Symptom: all endpoints of a service were given up while they served. Sequence: the list was away for longer than
-    // entries live without renewal, and its first answer had none of them. Cause: nobody could renew them meanwhile.
-    listSilentFor(2400ms);
+    // Guards against all endpoints of a service being removed while they serve: after an outage longer than the expiry of entries, the first response
+    // of the list contains none of them, because they could not be renewed.
+    setListSilentFor(2400ms);
     roster.onFullList(Ids{}, Start);
     roster.onListConfirmed(Start, Start);
     BOOST_TEST(roster.takeDueRemovals(Start + 2199ms).empty());
@@ -185,80 +185,80 @@
     BOOST_TEST(roster.takeDueRemovals(Start + 2200ms) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(entry_lapsedSoonAfterAnOutage_staysUntilItCouldBeBack)
+BOOST_AUTO_TEST_CASE(entry_expiredSoonAfterAnOutage_isRetainedForTheRecoveryTime)
 {
-    // The list may take entries away only once it serves again.
-    listSilentFor(10s);
+    // The list may drop expired entries only some time after it is available again.
+    setListSilentFor(10s);
     roster.onListConfirmed(Start, Start);
     roster.onEntryRemoved("a", Start + 500ms);
     BOOST_TEST(roster.takeDueRemovals(Start + 2199ms).empty());
     BOOST_TEST(roster.takeDueRemovals(Start + 2200ms) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(entry_removedLongAfterAnOutage_isGoneAtOnce)
+BOOST_AUTO_TEST_CASE(entry_removedLongAfterAnOutage_isDueAtOnce)
 {
-    listSilentFor(10s);
+    setListSilentFor(10s);
     roster.onListConfirmed(Start, Start);
     roster.onListConfirmed(Start + 2s, Start + 2s);
     roster.onEntryRemoved("a", Start + 3s);
     BOOST_TEST(roster.takeDueRemovals(Start + 3s) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(entry_removedInASilenceThatEntriesOutlive_isGoneAtOnce)
+BOOST_AUTO_TEST_CASE(entry_removedInASilenceShorterThanExpiry_isDueAtOnce)
 {
-    // Symptom: an endpoint that had left got requests for two seconds more. Sequence: one question hung; the answer to the
-    // next one told of the removal. Cause: any silence counted as an outage of the list.
-    listSilentFor(2399ms);
+    // Guards against an endpoint that left getting requests for two more seconds: one poll hangs, the next one reports the removal, and the short
+    // silence must not count as an outage of the list.
+    setListSilentFor(2399ms);
     roster.onFullList(Ids{"b"}, Start);
     BOOST_TEST(roster.takeDueRemovals(Start) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(entry_removedWhilePeersHeardTheList_isGoneAtOnce)
+BOOST_AUTO_TEST_CASE(entry_removedWhilePeersConfirmedTheList_isDueAtOnce)
 {
-    // Symptom and cause as above; here this instance was cut off for long, while its peers told of the list.
-    listSilentFor(12s);
+    // As above, but this instance was disconnected for long while its peers confirmed the list.
+    setListSilentFor(12s);
     for (Duration before = 11300ms; before > 0ms; before -= 700ms) {
-        roster.onListConfirmed(Start - before - 1s, Start - before); // Peers are asked so often, and hear of the list each second.
+        roster.onListConfirmed(Start - before - 1s, Start - before); // Interval of the questions to peers, which poll the list once a second.
     }
     roster.onFullList(Ids{"b"}, Start);
     BOOST_TEST(roster.takeDueRemovals(Start) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(list_awayAgain_nothingIsTakenForGone)
+BOOST_AUTO_TEST_CASE(list_unavailableAgain_noRemovalIsDue)
 {
-    listSilentFor(10s);
+    setListSilentFor(10s);
     roster.onEntryRemoved("a", Start);
     roster.onListConfirmed(Start, Start);
     BOOST_TEST(roster.takeDueRemovals(Start + 10s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(fullRead_entryMissing_isGone)
+BOOST_AUTO_TEST_CASE(fullList_entryMissing_isRemoved)
 {
     roster.onFullList(Ids{"b", "c"}, Start);
     BOOST_TEST(roster.takeDueRemovals(Start) == (Ids{"a"}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(listed_entryInDoubt_isAmongThem)
+BOOST_AUTO_TEST_CASE(snapshot_retainedEntry_isIncluded)
 {
-    // A peer that asks must not give up what this instance keeps.
-    const auto countListed = [this](BootTime now) {
-        const EndpointSnapshot listing = roster.snapshot(1, now);
-        return listing.endpoints.size() + listing.retained.size();
+    // A peer that gets the snapshot must not remove endpoints that this instance retains.
+    const auto countEndpoints = [this](BootTime now) {
+        const EndpointSnapshot snapshot = roster.snapshot(1, now);
+        return snapshot.endpoints.size() + snapshot.retained.size();
     };
-    listSilentFor(10s);
+    setListSilentFor(10s);
     roster.onEntryRemoved("a", Start);
-    BOOST_TEST(countListed(Start) == 2U);
+    BOOST_TEST(countEndpoints(Start) == 2U);
     roster.onListConfirmed(Start, Start);
     roster.onListConfirmed(Start + 2s, Start + 2s);
     roster.takeDueRemovals(Start + 2200ms);
-    BOOST_TEST(countListed(Start + 2200ms) == 1U);
+    BOOST_TEST(countEndpoints(Start + 2200ms) == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(EndpointSnapshotTest)
 
-BOOST_AUTO_TEST_CASE(listing_encoded_isTheSameWhenDecoded)
+BOOST_AUTO_TEST_CASE(snapshot_encodedAndDecoded_isUnchanged)
 {
     EndpointRecord leaving = recordOf("a");
     leaving.isLeaving = true;
@@ -271,7 +271,7 @@
     BOOST_TEST((decoded->endpoints[1] == recordOf("b")));
 }
 
-BOOST_AUTO_TEST_CASE(listing_truncatedOrSpoilt_isAnError)
+BOOST_AUTO_TEST_CASE(snapshot_truncatedOrMalformed_isAnError)
 {
     const std::string whole = encodeSnapshot({.version = 77, .endpoints = {recordOf("a")}});
     for (std::size_t length = 0; length < whole.size(); ++length) {
--- a/libs/routing/tests/quarantinetest.cpp
+++ b/libs/routing/tests/quarantinetest.cpp
@@ -13,8 +13,8 @@
 using namespace std::chrono_literals;
 
 struct QuarantineFixture {
-    /** The request is sent and its endpoint ends, so much later than the last event. */
-    bool sendAndEnd(const std::string &fingerprint, Duration later = 1s)
+    /** Advances the time, dispatches the request and reports a crash of its endpoint. */
+    bool sendAndCrash(const std::string &fingerprint, Duration later = 1s)
     {
         now += later;
         return quarantine.addReport({.fingerprint = fingerprint, .ordinal = quarantine.nextOrdinal(fingerprint), .endedAt = now}, now);
@@ -25,26 +25,26 @@
     }
 
     BootTime now{1h};
-    Quarantine quarantine{{.limit = 3, .time = 10min, .answerTime = 1min, .mostAnswered = 10, .mostReported = 5}};
+    Quarantine quarantine{{.limit = 3, .time = 10min, .answerTime = 1min, .maxAnswered = 10, .maxReported = 5}};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(QuarantineTest, QuarantineFixture)
 
-BOOST_AUTO_TEST_CASE(request_endedAsManyEndpointsAsTheLimit_isQuarantined)
+BOOST_AUTO_TEST_CASE(request_crashedAsManyEndpointsAsTheLimit_isQuarantined)
 {
-    BOOST_TEST(sendAndEnd("a"));
-    BOOST_TEST(sendAndEnd("a"));
+    BOOST_TEST(sendAndCrash("a"));
+    BOOST_TEST(sendAndCrash("a"));
     BOOST_TEST(!isQuarantined("a"));
-    BOOST_TEST(sendAndEnd("a"));
+    BOOST_TEST(sendAndCrash("a"));
     BOOST_TEST(isQuarantined("a"));
     BOOST_TEST(!isQuarantined("b"));
     BOOST_TEST((quarantine.timeLeft("a", now) == Duration(10min)));
 }
 
-// Guards against a common request being quarantined since several endpoints that ran it ended at one moment, e.g. a rack's.
-BOOST_AUTO_TEST_CASE(request_manyEndpointsEndUnderItAtOnce_countOnce)
+// Guards against a common request being quarantined because several endpoints that ran it went down at once, e.g. with their rack.
+BOOST_AUTO_TEST_CASE(request_concurrentCrashes_countOnce)
 {
     const std::uint32_t ordinal = quarantine.nextOrdinal("a");
     for (int endpoint = 0; endpoint < 10; ++endpoint) {
@@ -54,28 +54,28 @@
     BOOST_TEST(quarantine.nextOrdinal("a") == 2U);
 }
 
-// Guards against requests that ran beside the cause being quarantined with it.
-BOOST_AUTO_TEST_CASE(request_answeredBetweenEnds_isClearedOfThem)
+// Guards against requests that ran next to the cause being quarantined with it.
+BOOST_AUTO_TEST_CASE(request_answeredBetweenCrashes_isCleared)
 {
-    (void)sendAndEnd("a");
-    (void)sendAndEnd("a");
+    (void)sendAndCrash("a");
+    (void)sendAndCrash("a");
     const std::vector<std::uint32_t> cleared = quarantine.onAnswered("a", now);
     BOOST_TEST(cleared == (std::vector<std::uint32_t>{1, 2}), boost::test_tools::per_element());
     BOOST_TEST(quarantine.size() == 0U);
     BOOST_TEST(quarantine.nextOrdinal("a") == 1U);
 }
 
-// Guards against a common request being quarantined while endpoints end for other reasons.
-BOOST_AUTO_TEST_CASE(request_answeredLately_isNotReported)
+// Guards against a common request being quarantined while endpoints crash for other reasons.
+BOOST_AUTO_TEST_CASE(request_answeredRecently_isNotReported)
 {
     (void)quarantine.onAnswered("a", now);
     for (int end = 0; end < 5; ++end) {
-        BOOST_TEST(!sendAndEnd("a"));
+        BOOST_TEST(!sendAndCrash("a"));
     }
     BOOST_TEST(!isQuarantined("a"));
 }
 
-// Guards against a request staying above suspicion for ever, e.g. one that ends endpoints since their last release.
+// Guards against a request being exempt from reports for ever, e.g. one that crashes endpoints only since their last release.
 BOOST_AUTO_TEST_CASE(request_answeredLongAgo_isReported)
 {
     (void)quarantine.onAnswered("a", now);
@@ -83,39 +83,39 @@
         now += 1min;
         (void)quarantine.onAnswered("b", now);
     }
-    BOOST_TEST(sendAndEnd("a"));
+    BOOST_TEST(sendAndCrash("a"));
 }
 
-BOOST_AUTO_TEST_CASE(quarantine_over_mayBeSentAndNextEndQuarantinesForLonger)
+BOOST_AUTO_TEST_CASE(quarantine_expired_nextCrashQuarantinesForLonger)
 {
     for (int end = 0; end < 3; ++end) {
-        (void)sendAndEnd("a");
+        (void)sendAndCrash("a");
     }
     now += 10min;
     BOOST_TEST(!isQuarantined("a"));
-    BOOST_TEST(sendAndEnd("a"));
+    BOOST_TEST(sendAndCrash("a"));
     BOOST_TEST((quarantine.timeLeft("a", now) == Duration(20min)));
 }
 
-BOOST_AUTO_TEST_CASE(reports_belowTheLimitAndOld_areForgotten)
+BOOST_AUTO_TEST_CASE(reports_belowTheLimitAndOld_expire)
 {
-    (void)sendAndEnd("a");
-    (void)sendAndEnd("a");
-    (void)sendAndEnd("a", 10min);
+    (void)sendAndCrash("a");
+    (void)sendAndCrash("a");
+    (void)sendAndCrash("a", 10min);
     BOOST_TEST(!isQuarantined("a"));
 }
 
-BOOST_AUTO_TEST_CASE(reports_ofPeersOldOrKnown_changeNothing)
+BOOST_AUTO_TEST_CASE(reports_oldOrAlreadyKnown_changeNothing)
 {
     BOOST_TEST(!quarantine.addReport({.fingerprint = "a", .ordinal = 1, .endedAt = now - 10min}, now));
     BOOST_TEST(quarantine.addReport({.fingerprint = "a", .ordinal = 1, .endedAt = now}, now));
     BOOST_TEST(!quarantine.addReport({.fingerprint = "a", .ordinal = 1, .endedAt = now}, now));
 }
 
-BOOST_AUTO_TEST_CASE(report_withdrawnByPeer_countsNoMore)
+BOOST_AUTO_TEST_CASE(report_withdrawnByPeer_isRemoved)
 {
     for (int end = 0; end < 3; ++end) {
-        (void)sendAndEnd("a");
+        (void)sendAndCrash("a");
     }
     quarantine.withdraw("a", 2);
     BOOST_TEST(!isQuarantined("a"));
@@ -125,11 +125,11 @@
     BOOST_TEST(quarantine.size() == 0U);
 }
 
-// Guards against a caller who makes ever new requests that end endpoints filling the memory.
-BOOST_AUTO_TEST_CASE(reports_ofMoreRequestsThanRemembered_oldestMakesRoom)
+// Guards against unbounded memory use by a caller that sends ever new crashing requests.
+BOOST_AUTO_TEST_CASE(reports_ofTooManyRequests_evictTheOldest)
 {
     for (int request = 0; request < 20; ++request) {
-        (void)sendAndEnd("request " + std::to_string(request));
+        (void)sendAndCrash("request " + std::to_string(request));
         (void)quarantine.onAnswered("answered " + std::to_string(request), now);
     }
     BOOST_TEST(quarantine.size() == 5U);
--- a/libs/routing/tests/quarantineworldtest.cpp
+++ b/libs/routing/tests/quarantineworldtest.cpp
@@ -21,19 +21,20 @@
 
 using namespace std::chrono_literals;
 
-// The stated bound: so many sendings are allowed once all entries have had this time to learn of the third end.
-constexpr int MostFurtherSendings = 3;
-constexpr Duration LearningTime = 3000ms;
+// Documented bound on dispatches of a crashing request after all entries had PropagationTime to learn of its third crash.
+constexpr int MaxFurtherDispatches = 3;
+constexpr Duration PropagationTime = 3000ms;
 
 constexpr std::size_t EntryCount = 5;
 constexpr std::size_t EndpointCount = 12;
-constexpr int MostAttempts = 3;
-constexpr Duration Day = 60s;
+constexpr int MaxAttempts = 3;
+constexpr Duration SimulatedTime = 60s;
 
 const std::string Crashing = "crashing";
 const std::string Common = "common";
 
-/** Entries with their quarantines, reports that travel between them, endpoints that end and come back; all times drawn by seed. */
+/** Discrete event simulation of entries with quarantines, the exchange of reports between them, and endpoints that crash and restart. All times are drawn from
+ * the seed. */
 class QuarantineWorld
 {
 public:
@@ -42,11 +43,11 @@
         for (std::size_t entry = 0; entry < EntryCount; ++entry) {
             entries_.push_back(std::make_unique<Quarantine>(Quarantine::Options{}));
         }
-        schedule(drawn(0, 1000), [this] { commonComes(); });
-        schedule(drawn(0, 1000), [this] { otherComes(); });
-        schedule(drawn(3000, 8000), [this] { crashingComes(); });
-        schedule(drawn(5000, 20000), [this] { waveOfEnds(); });
-        schedule(drawn(5000, 20000), [this] { entryRestarts(); });
+        schedule(drawDuration(0, 1000), [this] { sendCommon(); });
+        schedule(drawDuration(0, 1000), [this] { sendOther(); });
+        schedule(drawDuration(3000, 8000), [this] { sendCrashing(); });
+        schedule(drawDuration(5000, 20000), [this] { crashSeveralEndpoints(); });
+        schedule(drawDuration(5000, 20000), [this] { restartEntry(); });
     }
 
     void run()
@@ -54,22 +55,22 @@
         while (!events_.empty() && now_ < End) {
             const auto next = events_.begin();
             now_ = next->first;
-            const auto act = std::move(next->second);
+            const auto action = std::move(next->second);
             events_.erase(next);
-            act();
+            action();
         }
     }
 
-    int furtherSendings = 0; ///< Of the crashing request, once all had time to learn of its third end.
-    int endsByCrashing = 0;
-    int endsUnderCrashing = 0; ///< These, and those for other reasons while it ran.
-    int commonRefused = 0;
+    int furtherDispatches = 0; ///< Dispatches of the crashing request later than PropagationTime after its third crash.
+    int crashCount = 0;
+    int reportsOfCrashing = 0; ///< Crashes of endpoints that ran the crashing request, for whatever reason.
+    int commonRejected = 0;
     int commonAnswered = 0;
     int othersQuarantined = 0;
 
 private:
     static constexpr BootTime Begin = BootTime(1h);
-    static constexpr BootTime End = Begin + Day;
+    static constexpr BootTime End = Begin + SimulatedTime;
 
     struct Run {
         std::size_t entry = 0;
@@ -84,100 +85,100 @@
         std::vector<Run> runs;
     };
 
-    Duration drawn(int least, int most)
+    Duration drawDuration(int least, int most)
     {
         return Duration(std::uniform_int_distribution<int>(least, most)(random_));
     }
-    std::size_t drawnIndex(std::size_t count)
+    std::size_t drawIndex(std::size_t count)
     {
         return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
     }
-    void schedule(Duration later, std::function<void()> act)
+    void schedule(Duration delay, std::function<void()> action)
     {
-        events_.emplace(now_ + later, std::move(act));
+        events_.emplace(now_ + delay, std::move(action));
     }
 
-    void commonComes()
+    void sendCommon()
     {
-        send({.entry = drawnIndex(EntryCount), .fingerprint = Common});
-        schedule(drawn(20, 200), [this] { commonComes(); });
+        send({.entry = drawIndex(EntryCount), .fingerprint = Common});
+        schedule(drawDuration(20, 200), [this] { sendCommon(); });
     }
 
-    void otherComes()
+    void sendOther()
     {
-        send({.entry = drawnIndex(EntryCount), .fingerprint = "other " + std::to_string(++others_)});
-        schedule(drawn(10, 60), [this] { otherComes(); });
+        send({.entry = drawIndex(EntryCount), .fingerprint = "other " + std::to_string(++others_)});
+        schedule(drawDuration(10, 60), [this] { sendOther(); });
     }
 
-    /** It comes again after seconds, now and then at two entries at once. */
-    void crashingComes()
+    /** Sends the crashing request, sometimes to two entries at once, and schedules the next time. */
+    void sendCrashing()
     {
-        const std::size_t copies = 1 + (drawnIndex(4) == 0 ? 1 : 0);
+        const std::size_t copies = 1 + (drawIndex(4) == 0 ? 1 : 0);
         for (std::size_t copy = 0; copy < copies; ++copy) {
-            send({.entry = drawnIndex(EntryCount), .fingerprint = Crashing});
+            send({.entry = drawIndex(EntryCount), .fingerprint = Crashing});
         }
-        schedule(drawn(200, 5000), [this] { crashingComes(); });
+        schedule(drawDuration(200, 5000), [this] { sendCrashing(); });
     }
 
-    void waveOfEnds()
+    void crashSeveralEndpoints()
     {
         for (std::size_t endpoint = 0; endpoint < EndpointCount; ++endpoint) {
-            if (drawnIndex(5) == 0) {
-                endpointEnds(endpoint);
+            if (drawIndex(5) == 0) {
+                crashEndpoint(endpoint);
             }
         }
-        schedule(drawn(4000, 20000), [this] { waveOfEnds(); });
+        schedule(drawDuration(4000, 20000), [this] { crashSeveralEndpoints(); });
     }
 
-    /** The new process reads what the store holds. */
-    void entryRestarts()
+    /** Replaces an entry by a new process, which reads the reports from the store. */
+    void restartEntry()
     {
-        const std::size_t entry = drawnIndex(EntryCount);
+        const std::size_t entry = drawIndex(EntryCount);
         entries_[entry] = std::make_unique<Quarantine>(Quarantine::Options{});
         for (const auto &[key, endedAt] : stored_) {
             (void)entries_[entry]->addReport({.fingerprint = key.first, .ordinal = key.second, .endedAt = endedAt}, now_);
         }
-        schedule(drawn(5000, 20000), [this] { entryRestarts(); });
+        schedule(drawDuration(5000, 20000), [this] { restartEntry(); });
     }
 
     void send(Run run)
     {
         Quarantine &quarantine = *entries_[run.entry];
         if (quarantine.timeLeft(run.fingerprint, now_)) {
-            commonRefused += run.fingerprint == Common ? 1 : 0;
+            commonRejected += run.fingerprint == Common ? 1 : 0;
             othersQuarantined += run.fingerprint != Common && run.fingerprint != Crashing ? 1 : 0;
             return;
         }
-        const std::size_t index = drawnIndex(EndpointCount);
+        const std::size_t index = drawIndex(EndpointCount);
         if (!endpoints_[index].isUp) {
-            schedule(drawn(5, 50), [this, run] { send(run); }); // Refused there: it waits and is tried elsewhere.
+            schedule(drawDuration(5, 50), [this, run] { send(run); }); // Rejected there: it is retried at another endpoint after a while.
             return;
         }
         const bool isCrashing = run.fingerprint == Crashing;
-        if (isCrashing && endsByCrashing >= 3 && now_ > thirdEnd_ + LearningTime) {
-            ++furtherSendings;
+        if (isCrashing && crashCount >= 3 && now_ > thirdCrashAt_ + PropagationTime) {
+            ++furtherDispatches;
         }
         run.ordinal = quarantine.nextOrdinal(run.fingerprint);
         run.number = ++lastRun_;
         endpoints_[index].runs.push_back(run);
-        const Duration time = isCrashing ? drawn(1, 400) : drawn(100, 1500);
+        const Duration time = isCrashing ? drawDuration(1, 400) : drawDuration(100, 1500);
         schedule(time, [this, index, number = run.number, isCrashing] { isCrashing ? crash(index, number) : answer(index, number); });
     }
 
-    bool holds(std::size_t index, std::uint64_t number) const
+    bool isRunning(std::size_t index, std::uint64_t number) const
     {
         return std::any_of(endpoints_[index].runs.begin(), endpoints_[index].runs.end(), [number](const Run &run) { return run.number == number; });
     }
 
     void crash(std::size_t index, std::uint64_t number)
     {
-        if (!holds(index, number)) {
-            return; // Its endpoint ended before.
+        if (!isRunning(index, number)) {
+            return; // Its endpoint has crashed already.
         }
-        if (++endsByCrashing == 3) {
-            thirdEnd_ = now_;
+        if (++crashCount == 3) {
+            thirdCrashAt_ = now_;
         }
-        endpointEnds(index);
+        crashEndpoint(index);
     }
 
     void answer(std::size_t index, std::uint64_t number)
@@ -195,38 +196,38 @@
         }
     }
 
-    void endpointEnds(std::size_t index)
+    void crashEndpoint(std::size_t index)
     {
         Endpoint &endpoint = endpoints_[index];
         if (!endpoint.isUp) {
             return;
         }
         endpoint.isUp = false;
-        schedule(drawn(1000, 1500), [this, index] { endpoints_[index].isUp = true; });
+        schedule(drawDuration(1000, 1500), [this, index] { endpoints_[index].isUp = true; });
         for (const Run &run : std::exchange(endpoint.runs, {})) {
-            schedule(drawn(1, 5), [this, run] { endSeen(run); });
+            schedule(drawDuration(1, 5), [this, run] { onCrashDetected(run); });
         }
     }
 
-    void endSeen(Run run)
+    void onCrashDetected(Run run)
     {
-        endsUnderCrashing += run.fingerprint == Crashing ? 1 : 0;
+        reportsOfCrashing += run.fingerprint == Crashing ? 1 : 0;
         const CrashReport report{.fingerprint = run.fingerprint, .ordinal = run.ordinal, .endedAt = now_};
         if (entries_[run.entry]->addReport(report, now_)) {
-            schedule(drawn(25, 60), [this, report] { share(report); });
+            schedule(drawDuration(25, 60), [this, report] { share(report); });
         }
-        if (run.attempt < MostAttempts) {
+        if (run.attempt < MaxAttempts) {
             ++run.attempt;
             send(run);
         }
     }
 
-    /** The store has the report; each entry asks for changes at its own moments. */
+    /** Writes the report to the store, from which each entry polls it at its own time. */
     void share(const CrashReport &report)
     {
         stored_[{report.fingerprint, report.ordinal}] = report.endedAt;
         for (std::size_t entry = 0; entry < EntryCount; ++entry) {
-            schedule(drawn(5, 150), [this, entry, report] {
+            schedule(drawDuration(5, 150), [this, entry, report] {
                 if (entries_[entry]->wasAnsweredRecently(report.fingerprint)) {
                     withdraw(report.fingerprint, report.ordinal);
                 } else {
@@ -238,10 +239,10 @@
 
     void withdraw(const std::string &fingerprint, std::uint32_t ordinal)
     {
-        schedule(drawn(25, 60), [this, fingerprint, ordinal] {
+        schedule(drawDuration(25, 60), [this, fingerprint, ordinal] {
             stored_.erase({fingerprint, ordinal});
             for (std::size_t entry = 0; entry < EntryCount; ++entry) {
-                schedule(drawn(5, 150), [this, entry, fingerprint, ordinal] { entries_[entry]->withdraw(fingerprint, ordinal); });
+                schedule(drawDuration(5, 150), [this, entry, fingerprint, ordinal] { entries_[entry]->withdraw(fingerprint, ordinal); });
             }
         });
     }
@@ -252,7 +253,7 @@
     std::vector<std::unique_ptr<Quarantine>> entries_;
     std::vector<Endpoint> endpoints_;
     std::map<std::pair<std::string, std::uint32_t>, BootTime> stored_;
-    BootTime thirdEnd_;
+    BootTime thirdCrashAt_;
     std::uint64_t lastRun_ = 0;
     int others_ = 0;
 };
@@ -261,8 +262,8 @@
 
 BOOST_AUTO_TEST_SUITE(QuarantineWorldTest)
 
-// Guards against a request that ends endpoints being sent on, and a common one being refused, whatever the order of reports, ends, answers and restarts.
-BOOST_AUTO_TEST_CASE(entries_reportsEndsAndRestartsInAnyOrder_boundHoldsAndCommonRequestIsServed)
+// Guards against a crashing request being dispatched further, and a common one being rejected, for any order of reports, crashes, answers and restarts.
+BOOST_AUTO_TEST_CASE(entries_randomOrderOfReportsCrashesAndRestarts_dispatchesAreBoundedAndCommonRequestIsServed)
 {
     constexpr std::uint64_t Seeds = 200;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
@@ -270,9 +271,9 @@
         world.run();
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            BOOST_TEST(world.endsUnderCrashing >= 2);
-            BOOST_TEST(world.furtherSendings <= MostFurtherSendings);
-            BOOST_TEST(world.commonRefused == 0);
+            BOOST_TEST(world.reportsOfCrashing >= 2);
+            BOOST_TEST(world.furtherDispatches <= MaxFurtherDispatches);
+            BOOST_TEST(world.commonRejected == 0);
             BOOST_TEST(world.commonAnswered > 100);
         }
     }
--- a/libs/routing/tests/ratelimitsharetest.cpp
+++ b/libs/routing/tests/ratelimitsharetest.cpp
@@ -25,24 +25,24 @@
     RateLimitShare limit;
 };
 
-/** Many entries that each want to send to one endpoint all the time. */
+/** Simulates many entries that share the rate limit of one endpoint. */
 struct LimitWorld {
     LimitWorld(std::size_t entries, double perSecond, std::uint32_t seed) : random(seed), limits(entries)
     {
         for (RateLimitShare &limit : limits) {
-            (void)limit.state(perSecond, entries, now, random);
+            (void)limit.update(perSecond, entries, now, random);
         }
     }
 
-    /** @param demand part of the steps in which an entry has a request to send; in the others its chances pass. */
+    /** @param demand fraction of the steps in which the entries have requests; send times in the other steps pass unused. */
     void run(Duration time, double demand)
     {
         std::bernoulli_distribution wants(demand);
         for (const BootTime end = now + time; now < end; now += Step) {
-            const bool isBusy = wants(random);
+            const bool hasRequest = wants(random);
             for (RateLimitShare &limit : limits) {
-                if (isBusy && limit.mayUse(limits.size(), now, random)) {
-                    limit.use(limits.size(), now, random);
+                if (hasRequest && limit.canSend(limits.size(), now, random)) {
+                    limit.consume(limits.size(), now, random);
                     send();
                 }
             }
@@ -56,14 +56,14 @@
         while (recent.front() <= now - Window) {
             recent.pop_front();
         }
-        most = std::max(most, recent.size());
+        maxInWindow = std::max(maxInWindow, recent.size());
     }
 
     Random random;
     BootTime now{1h};
     std::vector<RateLimitShare> limits;
     std::deque<BootTime> recent;
-    std::size_t most = 0; ///< In any window.
+    std::size_t maxInWindow = 0; ///< Maximum number of requests in any window.
     std::size_t sent = 0;
 };
 
@@ -71,8 +71,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(RateLimitShareTest, RateLimitShareFixture)
 
-// Guards against a limit that each entry keeps for itself being passed by all of them together.
-BOOST_AUTO_TEST_CASE(entries_anyNumberOfThem_togetherKeepTheLimitInAnyWindow)
+// Guards against the entries exceeding a limit together that each of them keeps.
+BOOST_AUTO_TEST_CASE(entries_anyNumber_totalIsWithinTheLimitInEveryWindow)
 {
     for (const std::size_t entries : {1, 5, 35, 420}) {
         for (const double perSecond : {0.0, 0.5, 1.0, 3.0, 10.0}) {
@@ -80,15 +80,15 @@
                 LimitWorld world(entries, perSecond, seed);
                 world.run(60s, 1);
                 const double allowed = 1.5 * perSecond * 4 + 5;
-                BOOST_TEST(static_cast<double>(world.most) <= allowed,
-                           entries << " entries, " << perSecond << " a second, seed " << seed << ": " << world.most);
+                BOOST_TEST(static_cast<double>(world.maxInWindow) <= allowed,
+                           entries << " entries, " << perSecond << " a second, seed " << seed << ": " << world.maxInWindow);
             }
         }
     }
 }
 
-// Guards against shares that were saved up while nobody sent being used all at once.
-BOOST_AUTO_TEST_CASE(entries_allSendAfterAPause_keepTheLimit)
+// Guards against a burst of unused shares after a pause.
+BOOST_AUTO_TEST_CASE(entries_allSendAfterAPause_totalIsWithinTheLimit)
 {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         LimitWorld world(420, 1, seed);
@@ -96,36 +96,36 @@
             world.now += 60s;
             world.run(5s, 1);
         }
-        BOOST_TEST(world.most <= 11U, "seed " << seed << ": " << world.most);
+        BOOST_TEST(world.maxInWindow <= 11U, "seed " << seed << ": " << world.maxInWindow);
     }
 }
 
-BOOST_AUTO_TEST_CASE(entries_endpointTakesSome_isSentThem)
+BOOST_AUTO_TEST_CASE(entries_limitAboveZero_useAFairPartOfIt)
 {
     LimitWorld world(5, 3, 7);
     world.run(60s, 1);
-    BOOST_TEST(world.sent > 60U); // A third of what it takes.
+    BOOST_TEST(world.sent > 60U); // A third of the limit.
 }
 
-BOOST_AUTO_TEST_CASE(limit_notStated_allowsAll)
+BOOST_AUTO_TEST_CASE(limit_notSet_allowsAllRequests)
 {
-    BOOST_TEST(limit.mayUse(5, now, random));
-    limit.use(5, now, random);
-    BOOST_TEST(limit.mayUse(5, now, random));
-    BOOST_TEST(!limit.lift());
+    BOOST_TEST(limit.canSend(5, now, random));
+    limit.consume(5, now, random);
+    BOOST_TEST(limit.canSend(5, now, random));
+    BOOST_TEST(!limit.clear());
 }
 
-BOOST_AUTO_TEST_CASE(limit_lifted_allowsAll)
+BOOST_AUTO_TEST_CASE(limit_cleared_allowsAllRequests)
 {
-    BOOST_TEST(limit.state(0, 5, now, random));
-    BOOST_TEST(!limit.state(0, 5, now, random));
-    BOOST_TEST(!limit.mayUse(5, now, random));
-    BOOST_TEST(limit.lift());
-    BOOST_TEST(limit.mayUse(5, now, random));
+    BOOST_TEST(limit.update(0, 5, now, random));
+    BOOST_TEST(!limit.update(0, 5, now, random));
+    BOOST_TEST(!limit.canSend(5, now, random));
+    BOOST_TEST(limit.clear());
+    BOOST_TEST(limit.canSend(5, now, random));
 }
 
-// Guards against an endpoint that took nothing for a while being left out for good.
-BOOST_AUTO_TEST_CASE(limit_ofNothing_isAskedForNowAndThen)
+// Guards against an endpoint whose limit was zero for a while never getting requests again.
+BOOST_AUTO_TEST_CASE(limit_zero_allowsAnOccasionalRequest)
 {
     LimitWorld world(5, 0, 3);
     world.run(600s, 1);
--- a/libs/routing/tests/routetabletest.cpp
+++ b/libs/routing/tests/routetabletest.cpp
@@ -42,14 +42,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouteTableTest, RouteTableFixture)
 
-BOOST_AUTO_TEST_CASE(path_severalPrefixes_longestWins)
+BOOST_AUTO_TEST_CASE(path_severalMatchingPrefixes_longestIsChosen)
 {
     BOOST_TEST(nameOf("a.example", "/shop/cart/1") == "cart");
     BOOST_TEST(nameOf("a.example", "/shop/cart") == "shop");
     BOOST_TEST(nameOf("a.example", "/shop/") == "shop");
 }
 
-BOOST_AUTO_TEST_CASE(path_noPrefix_hasNoRoute)
+BOOST_AUTO_TEST_CASE(path_noMatchingPrefix_hasNoRoute)
 {
     BOOST_TEST(nameOf("a.example", "/shop") == "none");
     BOOST_TEST(nameOf("a.example", "/") == "none");
@@ -57,7 +57,7 @@
     BOOST_TEST(nameOf("a.example", "*") == "none");
 }
 
-BOOST_AUTO_TEST_CASE(host_withPort_isTheSameHost)
+BOOST_AUTO_TEST_CASE(host_withPort_matchesWithoutPort)
 {
     BOOST_TEST(nameOf("b.example:8080", "/x") == "all");
 }
