--- a/libs/peers/include/peers/freshnessexchange.h
+++ b/libs/peers/include/peers/freshnessexchange.h
@@ -21,28 +21,26 @@
 namespace magnolia::peers
 {
 
-/** What this process knows of a document that it and its peers follow. */
+/** This process's version of a document to which it and its peers subscribe. */
 struct DocumentState {
     std::uint64_t version = 0; ///< 0: none.
-    BootTime provedAt; ///< As of when that version was the newest.
-    std::string_view document; ///< Valid until the next call to its owner.
+    BootTime provedAt; ///< When that version was last proven to be the newest.
+    std::string_view document; ///< Valid until the next call to the owner of the document.
 };
 
 /**
- * Passes proofs between peers that the documents which they follow are the newest, so that one which the store turns away
- * goes on.
+ * Exchanges proofs of freshness of documents between peers, so that a process that the store does not answer can go on serving.
  *
- * A process must not trust what it knows for longer than a bound after it last knew that it was the newest. One that still
- * hears from the store proves that for those that don't: it tells the age of its own proof, and passes on a newer version.
- * The age counts from the moment at which the question was put, by the asking process's own clock that counts suspension:
- * the answer was made after that, so no delay, freeze or difference between clocks makes a proof look younger than it is.
- * Links to peers are dialled only while the own proof is old, and dropped when the store answers again: while all is well
- * the exchange costs nothing. Lives on one event loop.
+ * A process may trust its version of a document only for a bounded time after the last proof that it was the newest. A peer that the store still
+ * answers sends the age of its own proof and any newer version to the others. The asking process subtracts this age from the time of its question, by
+ * its own clock, which includes suspension. As the answer was made after the question, no delay, suspension or clock difference makes a proof look
+ * younger than it is. Links to peers are dialled only when the own proof is old, and closed when the store answers again, so that there is no cost in
+ * normal operation. Lives on one event loop.
  *
  * @code
- * auto exchange = ProofExchange::start(loop, options, {{.name = "routes", .known = ..., .newer = ..., .proved = ...}});
+ * auto exchange = FreshnessExchange::start(loop, options, {{.name = "routes", .current = ..., .onNewer = ..., .onProved = ...}});
  * (*exchange)->setPeers({"10.0.0.5:7341"});
- * (*exchange)->storeAnswered(); // with each answer of the store
+ * (*exchange)->onStoreAnswered(); // on each answer of the store
  * @endcode
  */
 class FreshnessExchange
@@ -51,28 +49,28 @@
     struct Options {
         std::string listenAddress{}; ///< "IP:PORT"
         wire::LinkOptions links{};
-        Duration storeSilenceLimit{2000}; ///< Without an answer of the store: longer than a question to it waits.
+        Duration storeSilenceLimit{2000}; ///< Peers are asked after this time without an answer of the store; longer than the timeout of a request to it.
         Duration askInterval{700};
-        std::size_t maxAskedPeers = 3; ///< Peers at a time: some of them may be turned away too.
+        std::size_t maxAskedPeers = 3; ///< Asked at a time; several, since the store may not answer some of them either.
     };
 
-    /** One of the documents that are followed. */
+    /** One of the documents to which the process subscribes. */
     struct FollowedDocument {
-        std::string name{}; ///< For logs.
+        std::string name{}; ///< For log lines.
         std::function<DocumentState()> current;
-        std::function<void(std::string_view document)> onNewer; ///< A peer has a newer version.
-        std::function<void(BootTime asOf)> onProved; ///< What is known was the newest as of then.
+        std::function<void(std::string_view document)> onNewer; ///< Called with a peer's newer version.
+        std::function<void(BootTime asOf)> onProved; ///< Called when the current version is proven to have been the newest at that time.
     };
 
-    /** @param followed the documents, in the order that all peers have them in. @return Unavailable if the address can't be listened on. */
-    static Result<std::unique_ptr<FreshnessExchange>> start(event_base *loop, Options options, std::vector<FollowedDocument> followed);
+    /** @param documents in an order that is the same for all peers. @return Unavailable if the process cannot listen on the address. */
+    static Result<std::unique_ptr<FreshnessExchange>> start(event_base *loop, Options options, std::vector<FollowedDocument> documents);
 
     FreshnessExchange(const FreshnessExchange &) = delete;
     FreshnessExchange &operator=(const FreshnessExchange &) = delete;
 
     void setPeers(std::vector<std::string> addresses);
 
-    /** The store has just proved the first of the documents: peers are not needed for a while. */
+    /** The store has just proven the first document to be the newest. Stops asking peers until the store is silent again. */
     void onStoreAnswered();
 
     std::string address() const
@@ -81,28 +79,28 @@
     }
 
 private:
-    FreshnessExchange(event_base *loop, Options options, std::vector<FollowedDocument> followed);
+    FreshnessExchange(event_base *loop, Options options, std::vector<FollowedDocument> documents);
 
     Result<void> listen();
-    wire::Link::Callbacks takeLink(std::unique_ptr<wire::Link> link);
+    wire::Link::Callbacks onLink(std::unique_ptr<wire::Link> link);
     void answer(wire::Link &link, const wire::ProofQuestion &question) const;
-    void ask();
-    void askOver(wire::LinkDialer &dialer) const;
-    void askPeer(const std::string &address);
-    void takeAnswer(const wire::ProofAnswer &answer);
+    void askPeers();
+    void sendQuestions(wire::LinkDialer &dialer) const;
+    void dialPeer(const std::string &address);
+    void onAnswer(const wire::ProofAnswer &answer);
 
     event_base *loop_;
     Options options_;
-    std::vector<FollowedDocument> followed_;
+    std::vector<FollowedDocument> documents_;
     Random random_;
     http::Timer timer_;
     std::unique_ptr<wire::LinkListener> listener_;
-    std::map<std::uint64_t, std::unique_ptr<wire::Link>> asking_; ///< Links of peers that ask this process.
+    std::map<std::uint64_t, std::unique_ptr<wire::Link>> askingLinks_; ///< Links accepted from peers that ask this process.
     std::uint64_t lastLink_ = 0;
     std::vector<std::string> peers_;
-    std::map<std::string, std::unique_ptr<wire::LinkDialer>> asked_; ///< By address.
-    bool isHelped_ = false; ///< Peers have proved what the store does not.
-    int roundsWithoutHelp_ = 0; ///< Of questions, in a row.
+    std::map<std::string, std::unique_ptr<wire::LinkDialer>> askedPeers_; ///< Peers that this process asks; key: address.
+    bool isHelpedByPeers_ = false; ///< A peer has given a proof since the store's last answer.
+    int roundsWithoutHelp_ = 0; ///< Consecutive rounds of questions without a proof.
 };
 
 } // namespace magnolia::peers
--- a/libs/peers/include/peers/peerlist.h
+++ b/libs/peers/include/peers/peerlist.h
@@ -13,18 +13,18 @@
 
 struct event_base;
 
-/** Processes of one kind that help one another while the platform's store turns some of them away. */
+/** Exchange between processes of one kind, which keeps those serving that the platform's store rejects or does not answer. */
 namespace magnolia::peers
 {
 
-/** A peer as it announced itself. */
+/** A peer's announcement. */
 struct AnnouncedPeer {
-    std::string name; ///< Of its instance; unique.
-    std::string address; ///< "IP:PORT" where it takes links.
-    Duration age{0}; ///< Since it last announced itself, by the store's clock.
+    std::string name; ///< Unique name of its instance.
+    std::string address; ///< "IP:PORT" on which it accepts links.
+    Duration age{0}; ///< Time since its last announcement, by the store's clock.
 };
 
-/** Where peers announce themselves. Calls call back exactly once, on the loop's thread, never from within. */
+/** Store in which peers announce themselves. Each operation calls done exactly once, asynchronously on the loop's thread. */
 class PeerStore
 {
 public:
@@ -32,17 +32,16 @@
     virtual void announce(const std::string &name, const std::string &address, std::function<void(Result<void>)> done) = 0;
     virtual void list(std::function<void(Result<std::vector<AnnouncedPeer>>)> done) = 0;
 
-    /** Removes the announcements of peers, unless they have announced themselves again meanwhile. */
+    /** Removes the announcements of peers, except those that have been renewed meanwhile. */
     virtual void removeAnnouncements(std::span<const std::string> names, std::function<void(Result<void>)> done) = 0;
 };
 
 /**
- * Announces this process among its peers and knows where the others are.
+ * Announces this process to its peers and discovers their addresses.
  *
- * What was learnt stays while the store is away: that is when peers are needed. An announcement that is not renewed is not
- * used, and after a while removed, so that the list does not grow with each instance that is replaced. Calls to the store
- * are few, as they are priced: one to read every 15 s and one to write every minute. Lives on one event loop; the store
- * outlives it.
+ * The known peers are kept while the store is unavailable, since that is when they are needed. An announcement that is not renewed is no longer used
+ * and is later removed, so that the list does not grow with each replaced instance. The store charges for requests, so there are few: one read every
+ * 15 s and one write every minute. Lives on one event loop; the store must outlive it.
  *
  * @code
  * PeerList peers(loop, {.name = "entry-a", .address = "10.0.0.4:7341"}, store, [&](auto addresses) { exchange.setPeers(addresses); });
@@ -54,15 +53,15 @@
 public:
     struct Options {
         std::string name{};
-        std::string address{}; ///< Where this process takes links.
-        Duration firstRefreshDelay{1500}; ///< After the start: processes of a deployment start together, and miss one another in the first list.
+        std::string address{}; ///< On which this process accepts links.
+        Duration firstRefreshDelay{1500}; ///< After the start. Processes of a deployment start together and are missing from one another's first list.
         Duration refreshInterval{15000};
         Duration renewalInterval{60000};
-        Duration maxUsableAge{200000}; ///< Three renewals and some.
-        Duration maxAnnouncementAge{600000}; ///< Then its announcement is removed.
+        Duration maxUsableAge{200000}; ///< Three renewal intervals and a margin.
+        Duration maxAnnouncementAge{600000}; ///< Older announcements are removed from the store.
     };
 
-    /** @param changed is told the addresses of all usable peers after each list. */
+    /** @param onPeersChanged called with the addresses of all usable peers after each read of the list. */
     PeerList(event_base *loop, Options options, PeerStore &store, std::function<void(std::vector<std::string>)> onPeersChanged);
     PeerList(const PeerList &) = delete;
     PeerList &operator=(const PeerList &) = delete;
@@ -72,14 +71,14 @@
 private:
     void refresh();
     void announce();
-    void listed(const std::vector<AnnouncedPeer> &peers);
+    void onPeersListed(const std::vector<AnnouncedPeer> &peers);
 
     Options options_;
     PeerStore &store_;
     std::function<void(std::vector<std::string>)> onPeersChanged_;
     http::Timer timer_;
-    BootTime announcedAt_; ///< The epoch: not yet.
-    bool isFirst_ = true;
+    BootTime announcedAt_; ///< The epoch: not announced yet.
+    bool isFirstRefresh_ = true;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/libs/peers/src/freshnessexchange.cpp
+++ b/libs/peers/src/freshnessexchange.cpp
@@ -18,29 +18,29 @@
     return instance;
 }
 
-// Peers that have not helped by then are turned away too, or gone: others are asked.
-constexpr int MostRoundsWithoutHelp = 2;
+// Peers that gave no proof within this many rounds are down or have no answer from the store either; others are asked instead.
+constexpr int MaxRoundsWithoutHelp = 2;
 
-std::uint64_t numberOf(BootTime time)
+std::uint64_t toWireTime(BootTime time)
 {
     return static_cast<std::uint64_t>(time.time_since_epoch().count());
 }
 
-BootTime timeOf(std::uint64_t number)
+BootTime fromWireTime(std::uint64_t number)
 {
     return BootTime(BootClock::duration(static_cast<BootClock::rep>(number)));
 }
 
 } // namespace
 
-FreshnessExchange::FreshnessExchange(event_base *loop, Options options, std::vector<FollowedDocument> followed)
-    : loop_(loop), options_(std::move(options)), followed_(std::move(followed)), random_(seededRandom()), timer_(loop, [this] { ask(); })
+FreshnessExchange::FreshnessExchange(event_base *loop, Options options, std::vector<FollowedDocument> documents)
+    : loop_(loop), options_(std::move(options)), documents_(std::move(documents)), random_(seededRandom()), timer_(loop, [this] { askPeers(); })
 {
 }
 
-Result<std::unique_ptr<FreshnessExchange>> FreshnessExchange::start(event_base *loop, Options options, std::vector<FollowedDocument> followed)
+Result<std::unique_ptr<FreshnessExchange>> FreshnessExchange::start(event_base *loop, Options options, std::vector<FollowedDocument> documents)
 {
-    std::unique_ptr<FreshnessExchange> exchange(new FreshnessExchange(loop, std::move(options), std::move(followed)));
+    std::unique_ptr<FreshnessExchange> exchange(new FreshnessExchange(loop, std::move(options), std::move(documents)));
     if (const auto listening = exchange->listen(); !listening) {
         return tl::unexpected(listening.error());
     }
@@ -50,8 +50,8 @@
 
 Result<void> FreshnessExchange::listen()
 {
-    auto listener = wire::LinkListener::listen(
-        loop_, options_.listenAddress, options_.links, [this](std::unique_ptr<wire::Link> link) { return takeLink(std::move(link)); });
+    auto listener =
+        wire::LinkListener::listen(loop_, options_.listenAddress, options_.links, [this](std::unique_ptr<wire::Link> link) { return onLink(std::move(link)); });
     if (!listener) {
         return tl::unexpected(listener.error());
     }
@@ -59,11 +59,11 @@
     return {};
 }
 
-wire::Link::Callbacks FreshnessExchange::takeLink(std::unique_ptr<wire::Link> link)
+wire::Link::Callbacks FreshnessExchange::onLink(std::unique_ptr<wire::Link> link)
 {
     const std::uint64_t number = ++lastLink_;
     wire::Link *taken = link.get();
-    asking_.emplace(number, std::move(link));
+    askingLinks_.emplace(number, std::move(link));
     return {.onReady = {},
             .onMessage =
                 [this, taken](wire::Message &&message) {
@@ -71,20 +71,20 @@
                         answer(*taken, *question);
                     }
                 },
-            .onClosed = [this, number](const Failure &) { asking_.erase(number); }};
+            .onClosed = [this, number](const Failure &) { askingLinks_.erase(number); }};
 }
 
 void FreshnessExchange::answer(wire::Link &link, const wire::ProofQuestion &question) const
 {
-    if (question.subject >= followed_.size()) {
-        return; // A peer of a newer version follows more.
+    if (question.subject >= documents_.size()) {
+        return; // A peer of a newer version may subscribe to more documents.
     }
-    const DocumentState known = followed_[question.subject].current();
+    const DocumentState known = documents_[question.subject].current();
     wire::ProofAnswer answer;
     answer.subject = question.subject;
     answer.askedAt = question.askedAt;
     answer.version = known.version;
-    // Rounded up: a proof is never told to be younger than it is.
+    // Rounded up, so that a proof never looks younger than it is.
     answer.age = std::chrono::ceil<Duration>(BootClock::now() - known.provedAt);
     if (known.version > question.version) {
         answer.document = known.document;
@@ -100,75 +100,75 @@
 void FreshnessExchange::onStoreAnswered()
 {
     timer_.start(options_.storeSilenceLimit);
-    asked_.clear();
+    askedPeers_.clear();
     roundsWithoutHelp_ = 0;
-    if (std::exchange(isHelped_, false)) {
-        log()->info("Peers are not needed any more");
+    if (std::exchange(isHelpedByPeers_, false)) {
+        log()->info("Store answers again, peers are no longer asked");
     }
 }
 
-void FreshnessExchange::ask()
+void FreshnessExchange::askPeers()
 {
     timer_.start(options_.askInterval);
-    if (++roundsWithoutHelp_ > MostRoundsWithoutHelp) {
+    if (++roundsWithoutHelp_ > MaxRoundsWithoutHelp) {
         roundsWithoutHelp_ = 1;
-        asked_.clear();
+        askedPeers_.clear();
     }
     std::shuffle(peers_.begin(), peers_.end(), random_);
     for (const std::string &peer : peers_) {
-        const bool isRoomLeft = asked_.size() < options_.maxAskedPeers;
-        if (isRoomLeft && !asked_.contains(peer)) {
-            askPeer(peer);
+        const bool hasRoom = askedPeers_.size() < options_.maxAskedPeers;
+        if (hasRoom && !askedPeers_.contains(peer)) {
+            dialPeer(peer);
         }
     }
-    for (const auto &[address, dialer] : asked_) {
-        askOver(*dialer); // One that is not up yet is asked as soon as it is.
+    for (const auto &[address, dialer] : askedPeers_) {
+        sendQuestions(*dialer); // Links that are still connecting send their questions in onUp.
     }
 }
 
-void FreshnessExchange::askOver(wire::LinkDialer &dialer) const
+void FreshnessExchange::sendQuestions(wire::LinkDialer &dialer) const
 {
-    for (std::size_t subject = 0; subject < followed_.size(); ++subject) {
+    for (std::size_t subject = 0; subject < documents_.size(); ++subject) {
         dialer.send(wire::ProofQuestion{
-            .subject = static_cast<std::uint8_t>(subject), .version = followed_[subject].current().version, .askedAt = numberOf(BootClock::now())});
+            .subject = static_cast<std::uint8_t>(subject), .version = documents_[subject].current().version, .askedAt = toWireTime(BootClock::now())});
     }
 }
 
-void FreshnessExchange::askPeer(const std::string &address)
+void FreshnessExchange::dialPeer(const std::string &address)
 {
     wire::LinkDialer::Callbacks callbacks;
-    callbacks.onUp = [this, address](const wire::PeerInfo &) { askOver(*asked_.at(address)); };
+    callbacks.onUp = [this, address](const wire::PeerInfo &) { sendQuestions(*askedPeers_.at(address)); };
     callbacks.onMessage = [this](wire::Message &&message) {
         if (const auto *answer = std::get_if<wire::ProofAnswer>(&message)) {
-            takeAnswer(*answer);
+            onAnswer(*answer);
         }
     };
     callbacks.onDown = [](const Failure &) {};
-    callbacks.onPeerLost = [address](const Failure &failure) { log()->info("Peer does not answer address={} cause={}", address, failure.detail); };
-    asked_.emplace(address, wire::LinkDialer::dial(loop_, address, options_.links, std::move(callbacks)));
+    callbacks.onPeerLost = [address](const Failure &failure) { log()->info("Peer is unreachable address={} cause={}", address, failure.detail); };
+    askedPeers_.emplace(address, wire::LinkDialer::dial(loop_, address, options_.links, std::move(callbacks)));
 }
 
-void FreshnessExchange::takeAnswer(const wire::ProofAnswer &answer)
+void FreshnessExchange::onAnswer(const wire::ProofAnswer &answer)
 {
-    if (answer.version == 0 || answer.subject >= followed_.size()) {
+    if (answer.version == 0 || answer.subject >= documents_.size()) {
         return;
     }
-    const FollowedDocument &followed = followed_[answer.subject];
-    const std::uint64_t own = followed.current().version;
-    if (answer.version > own) {
-        log()->info("A peer has a newer version document={} version={} own={}", followed.name, answer.version, own);
-        followed.onNewer(answer.document);
+    const FollowedDocument &document = documents_[answer.subject];
+    const std::uint64_t ownVersion = document.current().version;
+    if (answer.version > ownVersion) {
+        log()->info("Peer has a newer version document={} version={} own={}", document.name, answer.version, ownVersion);
+        document.onNewer(answer.document);
     }
-    // A version that is not known here proves nothing: it may be the one that took something away.
-    if (followed.current().version < answer.version) {
+    // The proof is void if the newer version could not be applied, as it may be the one that revokes a key.
+    if (document.current().version < answer.version) {
         return;
     }
-    const BootTime asOf = timeOf(answer.askedAt) - answer.age;
-    if (!std::exchange(isHelped_, true)) {
-        log()->info("A peer proves what the store does not document={} version={} age_ms={}", followed.name, answer.version, answer.age.count());
+    const BootTime asOf = fromWireTime(answer.askedAt) - answer.age;
+    if (!std::exchange(isHelpedByPeers_, true)) {
+        log()->info("Using proofs of freshness from peers document={} version={} age_ms={}", document.name, answer.version, answer.age.count());
     }
     roundsWithoutHelp_ = 0;
-    followed.onProved(asOf);
+    document.onProved(asOf);
 }
 
 } // namespace magnolia::peers
--- a/libs/peers/src/peerlist.cpp
+++ b/libs/peers/src/peerlist.cpp
@@ -30,7 +30,7 @@
 
 void PeerList::refresh()
 {
-    timer_.start(std::exchange(isFirst_, false) ? options_.firstRefreshDelay : options_.refreshInterval);
+    timer_.start(std::exchange(isFirstRefresh_, false) ? options_.firstRefreshDelay : options_.refreshInterval);
     const BootTime now = BootClock::now();
     if (announcedAt_ == BootTime() || now - announcedAt_ >= options_.renewalInterval) {
         announce();
@@ -40,9 +40,9 @@
             return;
         }
         if (peers) {
-            listed(*peers);
+            onPeersListed(*peers);
         } else {
-            log()->warn("The peers can't be read, the known ones stay cause={}", peers.error().detail);
+            log()->warn("Reading the peers failed, keeping the known ones cause={}", peers.error().detail);
         }
     });
 }
@@ -56,25 +56,25 @@
         if (done) {
             announcedAt_ = at;
         } else {
-            log()->warn("Not announced, it is tried again cause={}", done.error().detail);
+            log()->warn("Announcement failed, will be retried cause={}", done.error().detail);
         }
     });
 }
 
-void PeerList::listed(const std::vector<AnnouncedPeer> &peers)
+void PeerList::onPeersListed(const std::vector<AnnouncedPeer> &peers)
 {
     std::vector<std::string> usable;
-    std::vector<std::string> old;
+    std::vector<std::string> expired;
     for (const AnnouncedPeer &peer : peers) {
         if (peer.age > options_.maxAnnouncementAge) {
-            old.push_back(peer.name);
+            expired.push_back(peer.name);
         } else if (peer.name != options_.name && peer.age <= options_.maxUsableAge) {
             usable.push_back(peer.address);
         }
     }
-    if (!old.empty()) {
-        store_.removeAnnouncements(old, [count = old.size()](const Result<void> &done) {
-            log()->info("Old announcements removed count={} outcome={}", count, done ? "done" : done.error().detail);
+    if (!expired.empty()) {
+        store_.removeAnnouncements(expired, [count = expired.size()](const Result<void> &done) {
+            log()->info("Expired announcements removed count={} outcome={}", count, done ? "done" : done.error().detail);
         });
     }
     onPeersChanged_(std::move(usable));
--- a/libs/peers/tests/freshnessexchangetest.cpp
+++ b/libs/peers/tests/freshnessexchangetest.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** A process with what it knows. */
+/** A process with two documents and the proofs that it has received. */
 struct Process {
     Process(event_base *loop, const std::string &name, std::size_t documents = 2)
     {
@@ -63,14 +63,14 @@
                 .onProved = [this](BootTime asOf) { listProof = asOf; }};
     }
 
-    void knowsList(std::uint64_t number, BootTime asOf)
+    void setList(std::uint64_t number, BootTime asOf)
     {
         listVersion = number;
         listProvedAt = asOf;
         listDocument = std::to_string(number);
     }
 
-    void knows(std::uint64_t number, BootTime asOf)
+    void setRoutes(std::uint64_t number, BootTime asOf)
     {
         version = number;
         provedAt = asOf;
@@ -94,121 +94,120 @@
 struct ExchangeFixture : http::LoopFixture {
     ExchangeFixture()
     {
-        cutOff.exchange->setPeers({helper.exchange->address()});
-        keepStoreOf(helper);
+        disconnected.exchange->setPeers({helper.exchange->address()});
+        keepStoreAnswering(helper);
     }
 
-    /** The store answers that process all the time. */
-    void keepStoreOf(Process &process)
+    /** Simulates a store that answers that process continuously. */
+    void keepStoreAnswering(Process &process)
     {
         answered_ = &process;
         timer_.start(Duration(20));
     }
 
-    Process cutOff{loop.get(), "cut-off"};
+    Process disconnected{loop.get(), "cut-off"};
     Process helper{loop.get(), "helper"};
 
 private:
-    void tick()
+    void onTimer()
     {
         answered_->exchange->onStoreAnswered();
         timer_.start(Duration(20));
     }
 
     Process *answered_ = nullptr;
-    http::Timer timer_{loop.get(), [this] { tick(); }};
+    http::Timer timer_{loop.get(), [this] { onTimer(); }};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(FreshnessExchangeTest, ExchangeFixture)
 
-BOOST_AUTO_TEST_CASE(storeSilent_peerHasProof_isTakenAsOldAsItIs)
+BOOST_AUTO_TEST_CASE(storeSilent_peerHasProof_isUsedWithItsAge)
 {
     const BootTime before = BootClock::now();
     const BootTime provedAt = before - std::chrono::milliseconds(400);
-    cutOff.knows(7, BootTime());
-    helper.knows(7, provedAt);
-    BOOST_REQUIRE(runUntil([this] { return cutOff.proof.has_value(); }));
-    // The age counts from the question, so that it may look older by the way of the question, never younger.
-    BOOST_TEST((*cutOff.proof <= provedAt));
-    BOOST_TEST((*cutOff.proof > provedAt - std::chrono::milliseconds(200)));
-    BOOST_TEST(cutOff.received.empty());
+    disconnected.setRoutes(7, BootTime());
+    helper.setRoutes(7, provedAt);
+    BOOST_REQUIRE(runUntil([this] { return disconnected.proof.has_value(); }));
+    // The age is subtracted from the time of the question, so the proof may look older by the transmission time, but never younger.
+    BOOST_TEST((*disconnected.proof <= provedAt));
+    BOOST_TEST((*disconnected.proof > provedAt - std::chrono::milliseconds(200)));
+    BOOST_TEST(disconnected.received.empty());
 }
 
-BOOST_AUTO_TEST_CASE(storeSilent_peerHasNewerVersion_isPassedOnBeforeTheProof)
+BOOST_AUTO_TEST_CASE(storeSilent_peerHasNewerVersion_isReceivedBeforeTheProof)
 {
-    cutOff.knows(7, BootTime());
-    helper.knows(9, BootClock::now());
-    BOOST_REQUIRE(runUntil([this] { return cutOff.proof.has_value(); }));
-    BOOST_TEST(cutOff.version == 9U);
-    BOOST_TEST(cutOff.received == "9");
+    disconnected.setRoutes(7, BootTime());
+    helper.setRoutes(9, BootClock::now());
+    BOOST_REQUIRE(runUntil([this] { return disconnected.proof.has_value(); }));
+    BOOST_TEST(disconnected.version == 9U);
+    BOOST_TEST(disconnected.received == "9");
 }
 
-BOOST_AUTO_TEST_CASE(storeSilent_newerVersionUnusable_provesNothing)
+BOOST_AUTO_TEST_CASE(storeSilent_newerVersionNotApplied_givesNoProof)
 {
-    // It may be the version that took a key away.
-    cutOff.knows(7, BootTime());
-    cutOff.canRead = false;
-    helper.knows(9, BootClock::now());
-    BOOST_REQUIRE(runUntil([this] { return !cutOff.received.empty(); }));
+    // The newer version may be the one that revokes a key.
+    disconnected.setRoutes(7, BootTime());
+    disconnected.canRead = false;
+    helper.setRoutes(9, BootClock::now());
+    BOOST_REQUIRE(runUntil([this] { return !disconnected.received.empty(); }));
     runFor(Duration(100));
-    BOOST_TEST(!cutOff.proof.has_value());
+    BOOST_TEST(!disconnected.proof.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(storeSilent_peerKnowsNothing_provesNothing)
+BOOST_AUTO_TEST_CASE(storeSilent_peerHasNoVersion_givesNoProof)
 {
-    cutOff.knows(7, BootTime());
+    disconnected.setRoutes(7, BootTime());
     BOOST_REQUIRE(runUntil([this] { return helper.lookups >= 2; }));
-    BOOST_TEST(!cutOff.proof.has_value());
+    BOOST_TEST(!disconnected.proof.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(storeAnswers_nobodyNeedsHelp_noPeerIsAsked)
+BOOST_AUTO_TEST_CASE(storeAnswers_proofIsFresh_noPeerIsAsked)
 {
-    keepStoreOf(cutOff);
-    helper.exchange->setPeers({}); // The helper's own store is silent now.
+    keepStoreAnswering(disconnected);
+    helper.exchange->setPeers({}); // From now on the helper's own store is silent.
     runFor(Duration(300));
-    BOOST_TEST(helper.lookups <= 10); // Its own rounds, but no question of the other's: those would be answered by proofs.
-    BOOST_TEST(!cutOff.proof.has_value());
+    BOOST_TEST(helper.lookups <= 10); // Lookups for the helper's own questions only; each question of the other process would add one.
+    BOOST_TEST(!disconnected.proof.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(storeSilent_severalDocuments_eachIsProvedByItself)
+BOOST_AUTO_TEST_CASE(storeSilent_severalDocuments_eachHasItsOwnProof)
 {
-    // An older list of endpoints must not be vouched for by newer routes.
+    // A proof of the newer routes must not count for the older list of endpoints.
     const BootTime listProvedAt = BootClock::now() - std::chrono::milliseconds(700);
-    cutOff.knows(7, BootTime());
-    cutOff.knowsList(100, BootTime());
-    helper.knows(7, BootClock::now());
-    helper.knowsList(110, listProvedAt);
-    BOOST_REQUIRE(runUntil([this] { return cutOff.proof.has_value() && cutOff.listProof.has_value(); }));
-    BOOST_TEST(cutOff.received.empty());
-    BOOST_TEST(cutOff.listDocument == "110");
-    BOOST_TEST((*cutOff.listProof <= listProvedAt));
-    BOOST_TEST((*cutOff.proof > listProvedAt));
+    disconnected.setRoutes(7, BootTime());
+    disconnected.setList(100, BootTime());
+    helper.setRoutes(7, BootClock::now());
+    helper.setList(110, listProvedAt);
+    BOOST_REQUIRE(runUntil([this] { return disconnected.proof.has_value() && disconnected.listProof.has_value(); }));
+    BOOST_TEST(disconnected.received.empty());
+    BOOST_TEST(disconnected.listDocument == "110");
+    BOOST_TEST((*disconnected.listProof <= listProvedAt));
+    BOOST_TEST((*disconnected.proof > listProvedAt));
 }
 
-BOOST_AUTO_TEST_CASE(storeSilent_peerFollowsOneDocumentOnly_thatOneIsProved)
+BOOST_AUTO_TEST_CASE(storeSilent_peerHasOneDocumentOnly_thatOneIsProved)
 {
-    // Peers are not replaced all at once.
+    // During a rolling update some peers run an earlier version.
     Process older(loop.get(), "older", 1);
-    older.knows(7, BootClock::now());
-    cutOff.knows(7, BootTime());
-    cutOff.knowsList(100, BootTime());
-    cutOff.exchange->setPeers({older.exchange->address()});
-    BOOST_REQUIRE(runUntil([this] { return cutOff.proof.has_value(); }));
+    older.setRoutes(7, BootClock::now());
+    disconnected.setRoutes(7, BootTime());
+    disconnected.setList(100, BootTime());
+    disconnected.exchange->setPeers({older.exchange->address()});
+    BOOST_REQUIRE(runUntil([this] { return disconnected.proof.has_value(); }));
     runFor(Duration(100));
-    BOOST_TEST(!cutOff.listProof.has_value());
+    BOOST_TEST(!disconnected.listProof.has_value());
 }
 
-// Symptom: an instance that the store turned away refused keys, though others could have proved them.
-// Sequence: the peers that it asked first had gone; it went on asking them.
-// Cause: peers that do not help are kept.
-BOOST_AUTO_TEST_CASE(storeSilent_firstPeersGone_othersAreAsked)
+// Guards against an instance without answers of the store rejecting keys although peers could give proofs: it must not keep asking the first peers when
+// they are down.
+BOOST_AUTO_TEST_CASE(storeSilent_firstPeersDown_othersAreAsked)
 {
-    cutOff.knows(7, BootTime());
-    helper.knows(7, BootClock::now());
-    cutOff.exchange->setPeers({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", helper.exchange->address()});
-    BOOST_TEST(runUntil([this] { return cutOff.proof.has_value(); }));
+    disconnected.setRoutes(7, BootTime());
+    helper.setRoutes(7, BootClock::now());
+    disconnected.exchange->setPeers({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", helper.exchange->address()});
+    BOOST_TEST(runUntil([this] { return disconnected.proof.has_value(); }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/peers/tests/peerlisttest.cpp
+++ b/libs/peers/tests/peerlisttest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** Answers from the loop, as a store does. */
+/** In-memory store that calls back asynchronously from the loop. */
 class FakeStore final : public PeerStore
 {
 public:
@@ -20,26 +20,26 @@
     void announce(const std::string &name, const std::string &address, std::function<void(Result<void>)> done) override
     {
         announced.push_back(name + " " + address);
-        later([this, done = std::move(done)] { done(isAway ? Result<void>(away()) : Result<void>()); });
+        callLater([this, done = std::move(done)] { done(isUnavailable ? Result<void>(away()) : Result<void>()); });
     }
 
     void list(std::function<void(Result<std::vector<AnnouncedPeer>>)> done) override
     {
         ++lists;
-        later([this, done = std::move(done)] { done(isAway ? Result<std::vector<AnnouncedPeer>>(away()) : peers); });
+        callLater([this, done = std::move(done)] { done(isUnavailable ? Result<std::vector<AnnouncedPeer>>(away()) : peers); });
     }
 
     void removeAnnouncements(std::span<const std::string> names, std::function<void(Result<void>)> done) override
     {
-        dropped.insert(dropped.end(), names.begin(), names.end());
-        later([done = std::move(done)] { done({}); });
+        removed.insert(removed.end(), names.begin(), names.end());
+        callLater([done = std::move(done)] { done({}); });
     }
 
     std::vector<AnnouncedPeer> peers;
     std::vector<std::string> announced;
-    std::vector<std::string> dropped;
+    std::vector<std::string> removed;
     int lists = 0;
-    bool isAway = false;
+    bool isUnavailable = false;
 
 private:
     static tl::unexpected<Failure> away()
@@ -47,7 +47,7 @@
         return fail(ErrorCode::Unavailable, Verdict::NotRun, "away");
     }
 
-    void later(std::function<void()> call)
+    void callLater(std::function<void()> call)
     {
         calls_.push_back(std::move(call));
         timer_.start(Duration(0));
@@ -71,11 +71,11 @@
     }
 
     FakeStore store{loop.get()};
-    std::vector<std::vector<std::string>> told;
+    std::vector<std::vector<std::string>> reportedAddresses;
     PeerList list{loop.get(),
                   {.name = "a", .address = "10.0.0.1:1", .firstRefreshDelay = Duration(20), .refreshInterval = Duration(40), .renewalInterval = Duration(200)},
                   store,
-                  [this](std::vector<std::string> addresses) { told.push_back(std::move(addresses)); }};
+                  [this](std::vector<std::string> addresses) { reportedAddresses.push_back(std::move(addresses)); }};
 };
 
 AnnouncedPeer peer(const std::string &name, Duration age)
@@ -87,39 +87,39 @@
 
 BOOST_FIXTURE_TEST_SUITE(PeerListTest, PeerListFixture)
 
-BOOST_AUTO_TEST_CASE(list_othersAndItself_onlyOthersAreTold)
+BOOST_AUTO_TEST_CASE(list_containsItself_onlyOthersAreReported)
 {
     store.peers = {peer("a", Duration(0)), peer("b", Duration(100)), peer("c", Duration(100))};
-    BOOST_REQUIRE(runUntil([this] { return !told.empty() && told.back().size() == 2; }));
-    BOOST_TEST(told.back() == (std::vector<std::string>{"b:1", "c:1"}), boost::test_tools::per_element());
+    BOOST_REQUIRE(runUntil([this] { return !reportedAddresses.empty() && reportedAddresses.back().size() == 2; }));
+    BOOST_TEST(reportedAddresses.back() == (std::vector<std::string>{"b:1", "c:1"}), boost::test_tools::per_element());
     BOOST_TEST(store.announced.front() == "a 10.0.0.1:1");
 }
 
-BOOST_AUTO_TEST_CASE(list_announcementsNotRenewed_areNotUsedAndLaterRemoved)
+BOOST_AUTO_TEST_CASE(list_announcementsNotRenewed_areUnusedAndLaterRemoved)
 {
     store.peers = {peer("b", Duration(300'000)), peer("c", Duration(700'000))};
-    BOOST_REQUIRE(runUntil([this] { return !store.dropped.empty(); }));
-    BOOST_TEST(told.back().empty());
-    BOOST_TEST(store.dropped.front() == "c");
+    BOOST_REQUIRE(runUntil([this] { return !store.removed.empty(); }));
+    BOOST_TEST(reportedAddresses.back().empty());
+    BOOST_TEST(store.removed.front() == "c");
 }
 
-BOOST_AUTO_TEST_CASE(storeAway_peersKnown_areKept)
+BOOST_AUTO_TEST_CASE(storeUnavailable_knownPeers_areKept)
 {
     store.peers = {peer("b", Duration(0))};
-    BOOST_REQUIRE(runUntil([this] { return !told.empty(); }));
-    store.isAway = true;
-    const std::size_t before = told.size();
+    BOOST_REQUIRE(runUntil([this] { return !reportedAddresses.empty(); }));
+    store.isUnavailable = true;
+    const std::size_t before = reportedAddresses.size();
     const int lists = store.lists;
     BOOST_REQUIRE(runUntil([&] { return store.lists > lists + 2; }));
-    BOOST_TEST(told.size() <= before + 1); // One answer may have been on its way.
-    BOOST_TEST(told.back().size() == 1U);
+    BOOST_TEST(reportedAddresses.size() <= before + 1); // One answer may have been in transit.
+    BOOST_TEST(reportedAddresses.back().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(announcement_lost_isMadeAgainAtOnceAndElseRarely)
+BOOST_AUTO_TEST_CASE(announcement_failed_isRetriedAtTheNextRefreshAndOtherwiseRare)
 {
-    store.isAway = true;
+    store.isUnavailable = true;
     BOOST_REQUIRE(runUntil([this] { return store.announced.size() >= 3; }));
-    store.isAway = false;
+    store.isUnavailable = false;
     const int lists = store.lists;
     const std::size_t announced = store.announced.size();
     BOOST_REQUIRE(runUntil([&] { return store.lists >= lists + 4; }));
