--- a/libs/forward/include/forward/endpointlist.h
+++ b/libs/forward/include/forward/endpointlist.h
@@ -55,25 +55,25 @@
     /** As of when that was the newest. */
     BootTime confirmedAt() const
     {
-        return provedAt_;
+        return confirmedAt_;
     }
 
     /** @return what is known, for peers; valid until the next call. */
     std::string_view encodedSnapshot();
 
 private:
-    bool takesVersion(std::uint64_t version);
-    void put(std::span<const routing::EndpointRecord> records);
-    void noteAbsence(const routing::Absence &absence, BootTime now);
-    void removeDue();
+    bool acceptVersion(std::uint64_t version);
+    void putRecords(std::span<const routing::EndpointRecord> records);
+    void logAbsence(const routing::Absence &absence, BootTime now);
+    void removeExpired();
 
     ForwardTask &task_;
     routing::EndpointRoster roster_;
     http::Timer removalTimer_;
     std::uint64_t version_ = 0;
-    BootTime provedAt_;
-    std::string document_;
-    bool isDocumentOld_ = true;
+    BootTime confirmedAt_;
+    std::string snapshot_;
+    bool isSnapshotStale_ = true;
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/admission.cpp
+++ b/libs/forward/src/admission.cpp
@@ -20,7 +20,7 @@
 constexpr Duration RetryAfterNoProof{1000};
 
 // Of what a caller states; more can't be reckoned with.
-constexpr Duration LongestStated = std::chrono::hours(24);
+constexpr Duration MaxStatedTimeout = std::chrono::hours(24);
 
 std::string_view pathOf(std::string_view target)
 {
@@ -71,7 +71,7 @@
 {
     routing::CallerBounds::Options options{.receivedAt = request.receivedAt};
     if (const auto stated = numberOf<std::uint64_t>(request.head.headers.value(protocol.deadline))) {
-        options.stated = Duration(std::min<std::uint64_t>(*stated, LongestStated.count()));
+        options.stated = Duration(std::min<std::uint64_t>(*stated, MaxStatedTimeout.count()));
     }
     return routing::CallerBounds(options);
 }
--- a/libs/forward/src/answersink.h
+++ b/libs/forward/src/answerwriter.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_ANSWERSINK_H
-#define MAGNOLIA_FORWARD_ANSWERSINK_H
+#ifndef MAGNOLIA_FORWARD_ANSWERWRITER_H
+#define MAGNOLIA_FORWARD_ANSWERWRITER_H
 
 #include "base/clock.h"
 #include "http/messageparser.h"
@@ -19,19 +19,19 @@
 };
 
 /** Where the answer to one request goes. One of the two ways is taken, once. */
-class AnswerSink
+class AnswerWriter
 {
 public:
-    virtual ~AnswerSink() = default;
+    virtual ~AnswerWriter() = default;
 
-    virtual void answer(int status, const http::HeaderList &headers, std::string_view body) = 0;
+    virtual void sendAnswer(int status, const http::HeaderList &headers, std::string_view body) = 0;
 
     virtual void beginStream(int status, const http::HeaderList &headers) = 0;
     virtual void sendPiece(std::string_view piece) = 0;
     virtual void endStream() = 0;
 
     /** Closes the connection, so that the answer can't pass for whole. */
-    virtual void cut() = 0;
+    virtual void abort() = 0;
 
     virtual std::size_t pendingBytes() const = 0; ///< Not taken by the caller yet.
 
--- a/libs/forward/src/sendings.h
+++ b/libs/forward/src/attempthistory.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_SENDINGS_H
-#define MAGNOLIA_FORWARD_SENDINGS_H
+#ifndef MAGNOLIA_FORWARD_ATTEMPTHISTORY_H
+#define MAGNOLIA_FORWARD_ATTEMPTHISTORY_H
 
 #include <algorithm>
 #include <cstddef>
@@ -20,10 +20,10 @@
  * if (sendings.mayTryAnother(route.maxEndpoints)) { sendElsewhere(); }
  * @endcode
  */
-class Sendings
+class AttemptHistory
 {
 public:
-    void began(const std::string &id)
+    void add(const std::string &id)
     {
         tried_.push_back(id);
         if (std::find(reached_.begin(), reached_.end(), id) == reached_.end()) {
@@ -33,20 +33,20 @@
     }
 
     /** The last one does not count against the bound and may be tried again: it reached nobody, or waits for its group. */
-    void takeBack()
+    void forgetLast()
     {
         tried_.pop_back();
     }
 
-    bool mayTryAnother(std::size_t most) const
+    bool allowsAnother(std::size_t maxEndpoints) const
     {
-        return tried_.size() < most;
+        return tried_.size() < maxEndpoints;
     }
 
     /** As many endpoints as allowed have seen it, so that a further sending has to go to one of them. */
-    bool hasReached(std::size_t most) const
+    bool hasReachedLimit(std::size_t maxEndpoints) const
     {
-        return reached_.size() >= most;
+        return reached_.size() >= maxEndpoints;
     }
 
     /** Ids that are not to be tried again. */
--- a/libs/forward/src/callersession.cpp
+++ b/libs/forward/src/callersession.cpp
@@ -20,7 +20,7 @@
 constexpr int StatusHeadersTooLarge = 431;
 
 // Bytes that a caller may send ahead of the answer to its request; then it is held back.
-constexpr std::size_t MostBacklogBytes = 64U << 10U;
+constexpr std::size_t MaxBacklogBytes = 64U << 10U;
 
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -29,7 +29,7 @@
     return http_status_str(static_cast<http_status>(status));
 }
 
-const routing::CallerLimits &usualLimits()
+const routing::CallerLimits &defaultLimits()
 {
     static const routing::CallerLimits limits;
     return limits;
@@ -37,30 +37,30 @@
 
 } // namespace
 
-CallerSession::CallerSession(ForwardCore &core, std::shared_ptr<http::Connection> connection, std::function<void(CallerSession *)> onEnd)
-    : core_(core), connection_(std::move(connection)), onEnd_(std::move(onEnd)), timer_(core.loop, [this] { timerFired(); })
+CallerSession::CallerSession(ForwardContext &context, std::shared_ptr<http::Connection> connection, std::function<void(CallerSession *)> onEnd)
+    : context_(context), connection_(std::move(connection)), onEnd_(std::move(onEnd)), timer_(context.loop, [this] { onTimer(); })
 {
-    core_.metrics.callers.add(1);
+    context_.metrics.callers.add(1);
 }
 
 CallerSession::~CallerSession()
 {
-    core_.metrics.callers.add(-1);
+    context_.metrics.callers.add(-1);
     connection_->close();
-    if (forwarding_ != nullptr) {
-        forwarding_->callerLeft();
+    if (activeRequest_ != nullptr) {
+        activeRequest_->onCallerLeft();
     }
 }
 
 void CallerSession::start()
 {
     connection_->setCallbacks({
-        .onData = [this](std::string_view bytes) { received(bytes); },
-        .onEnd = [this](http::ConnectionEnd) { connectionEnded(); },
+        .onData = [this](std::string_view bytes) { onBytes(bytes); },
+        .onEnd = [this](http::ConnectionEnd) { onConnectionEnd(); },
         .onDrained =
             [this] {
-                if (forwarding_ != nullptr) {
-                    forwarding_->callerDrained();
+                if (activeRequest_ != nullptr) {
+                    activeRequest_->onCallerDrained();
                 }
             },
     });
@@ -69,27 +69,27 @@
 
 const routing::CallerLimits &CallerSession::limits() const
 {
-    return core_.routes == nullptr ? usualLimits() : core_.routes->config().limits;
+    return context_.routes == nullptr ? defaultLimits() : context_.routes->config().limits;
 }
 
 bool CallerSession::closeIfIdle()
 {
-    if (forwarding_ != nullptr || parser_.hasBegun() || !backlog_.empty()) {
+    if (activeRequest_ != nullptr || parser_.hasBegun() || !backlog_.empty()) {
         return false;
     }
-    end();
+    close();
     return true;
 }
 
-void CallerSession::received(std::string_view bytes)
+void CallerSession::onBytes(std::string_view bytes)
 {
     const auto self = shared_from_this();
-    if (forwarding_ != nullptr && backlog_.empty()) {
-        backlogBegan_ = BootClock::now();
+    if (activeRequest_ != nullptr && backlog_.empty()) {
+        backlogSince_ = BootClock::now();
     }
     backlog_.append(bytes);
-    if (forwarding_ != nullptr) {
-        if (backlog_.size() > MostBacklogBytes) {
+    if (activeRequest_ != nullptr) {
+        if (backlog_.size() > MaxBacklogBytes) {
             connection_->setReading(false);
         }
         return;
@@ -99,41 +99,41 @@
 
 void CallerSession::parse()
 {
-    while (forwarding_ == nullptr && !hasEnded_ && connection_->isOpen() && !backlog_.empty()) {
+    while (activeRequest_ == nullptr && !hasEnded_ && connection_->isOpen() && !backlog_.empty()) {
         if (!parser_.hasBegun()) {
-            requestBegan_ = std::exchange(backlogBegan_, std::nullopt).value_or(BootClock::now());
+            requestSince_ = std::exchange(backlogSince_, std::nullopt).value_or(BootClock::now());
             timer_.start(limits().headerTimeout);
         }
         const std::size_t taken = parser_.feed(backlog_, [this](std::string_view piece) { body_.append(piece); });
         backlog_.erase(0, taken);
         if (!parser_.hasHead() && parser_.headBytes() > limits().maxHeaderBytes) {
-            refuseBroken(StatusHeadersTooLarge, "the headers are over the limit");
+            rejectAndClose(StatusHeadersTooLarge, "the headers are over the limit");
             return;
         }
         if (parser_.isBroken()) {
-            refuseBroken(StatusBadRequest, "the bytes are no request");
+            rejectAndClose(StatusBadRequest, "the bytes are no request");
             return;
         }
-        if (parser_.hasHead() && !isHeadChecked_ && !takeHead()) {
+        if (parser_.hasHead() && !isHeadChecked_ && !checkHead()) {
             return;
         }
         if (body_.size() > limits().maxBodyBytes) {
-            refuseBroken(StatusTooLarge, "the body is over the limit");
+            rejectAndClose(StatusTooLarge, "the body is over the limit");
             return;
         }
         if (parser_.isComplete()) {
-            backlogBegan_ = backlog_.empty() ? std::nullopt : std::optional(BootClock::now());
-            takeRequest();
+            backlogSince_ = backlog_.empty() ? std::nullopt : std::optional(BootClock::now());
+            startRequest();
         }
     }
 }
 
 /** @return false if the request has been refused. */
-bool CallerSession::takeHead()
+bool CallerSession::checkHead()
 {
     isHeadChecked_ = true;
     if (parser_.headBytes() > limits().maxHeaderBytes + body_.size() + backlog_.size()) {
-        refuseBroken(StatusHeadersTooLarge, "the headers are over the limit");
+        rejectAndClose(StatusHeadersTooLarge, "the headers are over the limit");
         return false;
     }
     timer_.start(limits().idleTimeout); // For the body.
@@ -142,7 +142,7 @@
     std::size_t bytes = 0;
     std::from_chars(length.data(), length.data() + length.size(), bytes);
     if (bytes > limits().maxBodyBytes) {
-        refuseBroken(StatusTooLarge, "the body is over the limit");
+        rejectAndClose(StatusTooLarge, "the body is over the limit");
         return false;
     }
     if (http::equalsIgnoringCase(headers.value("expect"), "100-continue") && !parser_.isComplete()) {
@@ -151,20 +151,20 @@
     return true;
 }
 
-void CallerSession::takeRequest()
+void CallerSession::startRequest()
 {
     timer_.stop();
-    CallerRequest request{.head = std::move(parser_.head()), .body = std::exchange(body_, {}), .receivedAt = requestBegan_};
+    CallerRequest request{.head = std::move(parser_.head()), .body = std::exchange(body_, {}), .receivedAt = requestSince_};
     keepsAlive_ = request.head.keepAlive;
     isHead_ = request.head.method == "HEAD";
     isHeadChecked_ = false;
     parser_.reset();
-    forwarding_ = std::make_shared<Forwarding>(core_, *this, std::move(request));
-    const auto started = forwarding_;
+    activeRequest_ = std::make_shared<ForwardedRequest>(context_, *this, std::move(request));
+    const auto started = activeRequest_;
     started->start();
 }
 
-void CallerSession::refuseBroken(int status, std::string_view reason)
+void CallerSession::rejectAndClose(int status, std::string_view reason)
 {
     const Failure failure{.code = ErrorCode::BadInput, .verdict = Verdict::NotRun, .detail = std::string(reason), .retryAfter = {}};
     http::HeaderList headers;
@@ -173,10 +173,11 @@
     headers.add("Content-Length", std::to_string(body.size()));
     keepsAlive_ = false;
     connection_->send(headOf(status, headers) + body);
-    core_.log.write({.requestId = parser_.head().headers.value(core_.options.protocol.requestId), .status = status, .outcome = "refused", .cause = reason});
+    context_.log.logEnd(
+        {.requestId = parser_.head().headers.value(context_.options.protocol.requestId), .status = status, .outcome = "refused", .cause = reason});
     connection_->closeWhenSent();
     if (!connection_->isOpen()) {
-        end();
+        close();
     }
 }
 
@@ -192,9 +193,9 @@
     return head;
 }
 
-void CallerSession::answer(int status, const http::HeaderList &headers, std::string_view body)
+void CallerSession::sendAnswer(int status, const http::HeaderList &headers, std::string_view body)
 {
-    keepsAlive_ = keepsAlive_ && !core_.isStopping;
+    keepsAlive_ = keepsAlive_ && !context_.isStopping;
     http::HeaderList framed = headers;
     framed.add("Content-Length", std::to_string(body.size()));
     std::string message = headOf(status, framed);
@@ -202,12 +203,12 @@
         message.append(body);
     }
     connection_->send(message);
-    answerEnded();
+    finishAnswer();
 }
 
 void CallerSession::beginStream(int status, const http::HeaderList &headers)
 {
-    keepsAlive_ = keepsAlive_ && !core_.isStopping;
+    keepsAlive_ = keepsAlive_ && !context_.isStopping;
     http::HeaderList framed = headers;
     framed.add("Transfer-Encoding", "chunked");
     streamHead_ = headOf(status, framed);
@@ -223,14 +224,14 @@
 void CallerSession::endStream()
 {
     connection_->send(std::exchange(streamHead_, {}) + "0\r\n\r\n");
-    answerEnded();
+    finishAnswer();
 }
 
-void CallerSession::cut()
+void CallerSession::abort()
 {
     const auto self = shared_from_this();
-    forwarding_.reset();
-    end();
+    activeRequest_.reset();
+    close();
 }
 
 std::size_t CallerSession::pendingBytes() const
@@ -243,14 +244,14 @@
     return connection_->isClosedByPeer();
 }
 
-void CallerSession::answerEnded()
+void CallerSession::finishAnswer()
 {
     const auto self = shared_from_this();
-    forwarding_.reset();
+    activeRequest_.reset();
     if (!keepsAlive_) {
         connection_->closeWhenSent();
         if (!connection_->isOpen()) {
-            end();
+            close();
         }
         return;
     }
@@ -261,27 +262,27 @@
     }
 }
 
-void CallerSession::connectionEnded()
+void CallerSession::onConnectionEnd()
 {
     const auto self = shared_from_this();
-    if (const auto left = std::exchange(forwarding_, nullptr)) {
-        left->callerLeft();
+    if (const auto left = std::exchange(activeRequest_, nullptr)) {
+        left->onCallerLeft();
     }
-    end();
+    close();
 }
 
-void CallerSession::timerFired()
+void CallerSession::onTimer()
 {
     const auto self = shared_from_this();
     const bool isReading = parser_.hasBegun();
     if (isReading) {
-        refuseBroken(StatusRequestTimeout, "the request did not come in time");
+        rejectAndClose(StatusRequestTimeout, "the request did not come in time");
         return;
     }
-    end();
+    close();
 }
 
-void CallerSession::end()
+void CallerSession::close()
 {
     if (std::exchange(hasEnded_, true)) {
         return;
--- a/libs/forward/src/crashwatch.h
+++ b/libs/forward/src/crashtracker.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_CRASHWATCH_H
-#define MAGNOLIA_FORWARD_CRASHWATCH_H
+#ifndef MAGNOLIA_FORWARD_CRASHTRACKER_H
+#define MAGNOLIA_FORWARD_CRASHTRACKER_H
 
 #include "endpointprobe.h"
 #include "forward/crashreportpublisher.h"
@@ -25,50 +25,50 @@
  * if (const auto left = crashes.quarantineLeft(fingerprint)) { refuse(*left); }
  * @endcode
  */
-class CrashWatch
+class CrashTracker
 {
 public:
-    struct Run {
+    struct RequestAttempt {
         std::string fingerprint{}; ///< Of the request.
         std::uint32_t ordinal = 1; ///< nextOrdinal() when it was sent.
     };
 
     /** @param quarantined called when a request has been quarantined. */
-    CrashWatch(event_base *loop,
-               EndpointConnections &connections,
-               const routing::Quarantine::Options &options,
-               ForwardMetrics &metrics,
-               std::function<void()> quarantined);
-    CrashWatch(const CrashWatch &) = delete;
-    CrashWatch &operator=(const CrashWatch &) = delete;
+    CrashTracker(event_base *loop,
+                 EndpointConnectionPool &connections,
+                 const routing::Quarantine::Options &options,
+                 ForwardMetrics &metrics,
+                 std::function<void()> onQuarantined);
+    CrashTracker(const CrashTracker &) = delete;
+    CrashTracker &operator=(const CrashTracker &) = delete;
 
-    void share(CrashReportPublisher sharing);
+    void setPublisher(CrashReportPublisher publisher);
 
     std::uint32_t nextOrdinal(std::string_view fingerprint) const;
 
     /** The connection to an endpoint broke while it may have run a request. @param judged called once it is known whether it ended, never from within. */
-    void connectionBroke(const routing::EndpointPointer &endpoint, Run run, std::function<void()> judged);
+    void probeEndpoint(const routing::EndpointPointer &endpoint, RequestAttempt attempt, std::function<void()> onProbed);
 
     /** An endpoint ran a request to its end. */
-    void answered(const std::string &fingerprint);
+    void recordAnswer(const std::string &fingerprint);
 
     std::optional<Duration> quarantineLeft(std::string_view fingerprint) const;
 
     /** Another entry saw an endpoint end under a request. */
-    void takeReport(const routing::CrashReport &report);
+    void addPeerReport(const routing::CrashReport &report);
 
     /** Another entry cleared a request of a report. */
-    void takeWithdrawal(std::string_view fingerprint, std::uint32_t ordinal);
+    void withdrawPeerReport(std::string_view fingerprint, std::uint32_t ordinal);
 
 private:
-    void endpointEnded(const std::string &endpoint, const Run &run);
-    void note(const routing::CrashReport &report, std::string_view source);
+    void recordCrash(const std::string &endpoint, const RequestAttempt &attempt);
+    void applyReport(const routing::CrashReport &report, std::string_view source);
 
     routing::Quarantine quarantine_;
     EndpointProbe probe_;
     ForwardMetrics &metrics_;
-    std::function<void()> quarantined_;
-    CrashReportPublisher sharing_;
+    std::function<void()> onQuarantined_;
+    CrashReportPublisher publisher_;
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/endpointcall.cpp
+++ b/libs/forward/src/endpointattempt.cpp
@@ -1,4 +1,4 @@
-#include "endpointcall.h"
+#include "endpointattempt.h"
 
 #include <charconv>
 #include <utility>
@@ -13,56 +13,56 @@
 constexpr int FirstRedirectStatus = 300;
 
 // How long an endpoint keeps an idle connection if it does not say.
-constexpr Duration UsualKeep{4000};
+constexpr Duration DefaultKeepAlive{4000};
 
 // An endpoint closes an idle connection at the end of the time that it states. A request that crosses that close may have
 // run as far as can be told from here, so the connection is given up before.
-constexpr Duration KeepMargin{1000};
+constexpr Duration KeepAliveMargin{1000};
 
-Duration keepTime(const http::HeaderList &headers)
+Duration keepAliveOf(const http::HeaderList &headers)
 {
     const std::string_view value = headers.value("keep-alive");
     constexpr std::string_view Field = "timeout=";
     const std::size_t at = value.find(Field);
     if (at == std::string_view::npos) {
-        return UsualKeep - KeepMargin;
+        return DefaultKeepAlive - KeepAliveMargin;
     }
     const std::string_view digits = value.substr(at + Field.size());
     std::int64_t seconds = 0;
     std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
-    return std::chrono::seconds(seconds) - KeepMargin;
+    return std::chrono::seconds(seconds) - KeepAliveMargin;
 }
 
 } // namespace
 
-std::string_view toString(CallEnd end)
+std::string_view toString(AttemptEnd end)
 {
     switch (end) {
-    case CallEnd::Whole:
+    case AttemptEnd::Complete:
         return "whole";
-    case CallEnd::NotSent:
+    case AttemptEnd::NotSent:
         return "not-sent";
-    case CallEnd::Lost:
+    case AttemptEnd::ConnectionLost:
         return "lost";
-    case CallEnd::Spoilt:
+    case AttemptEnd::Invalid:
         return "spoilt";
     }
     return "spoilt";
 }
 
-EndpointCall::EndpointCall(Options options, Callbacks callbacks) : options_(std::move(options)), callbacks_(std::move(callbacks)) {}
+EndpointAttempt::EndpointAttempt(Options options, Callbacks callbacks) : options_(std::move(options)), callbacks_(std::move(callbacks)) {}
 
-EndpointCall::~EndpointCall()
+EndpointAttempt::~EndpointAttempt()
 {
     cancel();
 }
 
-bool EndpointCall::start()
+bool EndpointAttempt::start()
 {
     const routing::EndpointRecord &record = options_.endpoint->record;
-    connection_ = options_.connections->take(record.id, options_.longestIdle);
-    isKept_ = connection_ != nullptr;
-    if (!isKept_) {
+    connection_ = options_.connections->take(record.id, options_.maxIdle);
+    isReused_ = connection_ != nullptr;
+    if (!isReused_) {
         const auto address = http::SocketAddress::parse(record.address);
         connection_ = address ? http::Connection::dial(options_.loop, *address) : nullptr;
     }
@@ -70,8 +70,8 @@
         return false;
     }
     connection_->setCallbacks({
-        .onData = [this](std::string_view bytes) { received(bytes); },
-        .onEnd = [this](http::ConnectionEnd end) { connectionEnded(end); },
+        .onData = [this](std::string_view bytes) { onBytes(bytes); },
+        .onEnd = [this](http::ConnectionEnd end) { onConnectionEnd(end); },
     });
     if (options_.isHead) {
         parser_.expectNoBody();
@@ -80,7 +80,7 @@
     return true;
 }
 
-void EndpointCall::cancel()
+void EndpointAttempt::cancel()
 {
     if (connection_ != nullptr) {
         // A request that waits in a buffer, e.g. for a lost packet to be sent again, would else reach the endpoint later.
@@ -89,25 +89,25 @@
     }
 }
 
-void EndpointCall::setReading(bool enabled)
+void EndpointAttempt::setReading(bool enabled)
 {
     if (connection_ != nullptr) {
         connection_->setReading(enabled);
     }
 }
 
-bool EndpointCall::isConnected() const
+bool EndpointAttempt::isConnected() const
 {
     return connection_ != nullptr && connection_->isConnected();
 }
 
-bool EndpointCall::hasSent() const
+bool EndpointAttempt::hasSent() const
 {
     // A kept connection has sent earlier requests; whether this one left can't be told apart, so it counts as sent.
-    return connection_ == nullptr || isKept_ || connection_->hasSent();
+    return connection_ == nullptr || isReused_ || connection_->hasSent();
 }
 
-void EndpointCall::received(std::string_view bytes)
+void EndpointAttempt::onBytes(std::string_view bytes)
 {
     const auto self = shared_from_this();
     while (connection_ != nullptr && !bytes.empty()) {
@@ -125,11 +125,11 @@
         }
         bytes.remove_prefix(taken);
         if (parser_.isBroken()) {
-            conclude(CallEnd::Spoilt);
+            finish(AttemptEnd::Invalid);
             return;
         }
         if (!hadHead && parser_.hasHead()) {
-            if (!takeHead()) {
+            if (!handleHead()) {
                 return;
             }
             if (!early.empty() && !isSkipping_) {
@@ -137,13 +137,13 @@
             }
         }
         if (connection_ != nullptr && parser_.isComplete()) {
-            messageEnded(bytes);
+            onMessageEnd(bytes);
         }
     }
 }
 
 /** @return false if the call has ended. */
-bool EndpointCall::takeHead()
+bool EndpointAttempt::handleHead()
 {
     http::MessageHead &head = parser_.head();
     if (head.status < FirstFinalStatus) {
@@ -155,11 +155,11 @@
     if (id != nullptr && *id != options_.requestId) {
         // Left over from an earlier request on this connection. Its bytes are skipped; ours may follow.
         isSkipping_ = true;
-        isDoubtful_ = true;
+        mustClose_ = true;
         return true;
     }
     if (id == nullptr && isSuccess) {
-        conclude(CallEnd::Spoilt); // It can't be told whose it is.
+        finish(AttemptEnd::Invalid); // It can't be told whose it is.
         return false;
     }
     hasAnswer_ = true;
@@ -167,7 +167,7 @@
     return connection_ != nullptr;
 }
 
-void EndpointCall::messageEnded(std::string_view surplus)
+void EndpointAttempt::onMessageEnd(std::string_view trailing)
 {
     if (isSkipping_) {
         isSkipping_ = false;
@@ -178,39 +178,39 @@
         return;
     }
     const bool isAllSent = connection_->pendingBytes() == 0;
-    release(parser_.head().keepAlive && !isDoubtful_ && surplus.empty() && isAllSent);
-    callbacks_.onEnd(CallEnd::Whole);
+    releaseConnection(parser_.head().keepAlive && !mustClose_ && trailing.empty() && isAllSent);
+    callbacks_.onEnd(AttemptEnd::Complete);
 }
 
-void EndpointCall::connectionEnded(http::ConnectionEnd end)
+void EndpointAttempt::onConnectionEnd(http::ConnectionEnd end)
 {
     const auto self = shared_from_this();
     if (end == http::ConnectionEnd::Refused) {
-        conclude(CallEnd::NotSent);
+        finish(AttemptEnd::NotSent);
         return;
     }
     if (end == http::ConnectionEnd::Closed && hasAnswer_ && parser_.finish()) {
-        conclude(CallEnd::Whole);
+        finish(AttemptEnd::Complete);
         return;
     }
-    conclude(CallEnd::Lost);
+    finish(AttemptEnd::ConnectionLost);
 }
 
-void EndpointCall::conclude(CallEnd end)
+void EndpointAttempt::finish(AttemptEnd end)
 {
-    release(false);
+    releaseConnection(false);
     callbacks_.onEnd(end);
 }
 
-void EndpointCall::release(bool isReusable)
+void EndpointAttempt::releaseConnection(bool isReusable)
 {
     const auto connection = std::exchange(connection_, nullptr);
     if (connection == nullptr) {
         return;
     }
-    const Duration keepFor = isReusable ? keepTime(parser_.head().headers) : Duration(0);
+    const Duration keepFor = isReusable ? keepAliveOf(parser_.head().headers) : Duration(0);
     if (keepFor.count() > 0 && options_.endpoint->takesWork()) {
-        options_.connections->keep(options_.endpoint->record.id, connection, keepFor);
+        options_.connections->put(options_.endpoint->record.id, connection, keepFor);
     } else {
         connection->close();
     }
--- a/libs/forward/src/endpointcall.h
+++ b/libs/forward/src/endpointattempt.h
@@ -1,7 +1,7 @@
-#ifndef MAGNOLIA_FORWARD_ENDPOINTCALL_H
-#define MAGNOLIA_FORWARD_ENDPOINTCALL_H
+#ifndef MAGNOLIA_FORWARD_ENDPOINTATTEMPT_H
+#define MAGNOLIA_FORWARD_ENDPOINTATTEMPT_H
 
-#include "endpointconnections.h"
+#include "endpointconnectionpool.h"
 #include "forward/protocol.h"
 #include "http/messageparser.h"
 #include "routing/endpointtable.h"
@@ -16,15 +16,15 @@
 {
 
 /** How one sending of a request to one endpoint ended. */
-enum class CallEnd : std::uint8_t {
-    Whole, ///< The whole answer has come.
+enum class AttemptEnd : std::uint8_t {
+    Complete, ///< The whole answer has come.
     NotSent, ///< No byte of the request left: it has not run there.
-    Lost, ///< The connection ended before the answer was whole.
-    Spoilt, ///< What came is no answer, or not to this request.
+    ConnectionLost, ///< The connection ended before the answer was whole.
+    Invalid, ///< What came is no answer, or not to this request.
 };
 
 /** @return "whole", "not-sent", "lost" or "spoilt". */
-std::string_view toString(CallEnd end);
+std::string_view toString(AttemptEnd end);
 
 /**
  * One sending of a request to one endpoint, on a kept connection or a new one.
@@ -35,30 +35,30 @@
  * that answered early reads on, and would take the next request for the rest of this one. Owned by shared_ptr; cancel()
  * ends all callbacks. On its loop's thread.
  */
-class EndpointCall : public std::enable_shared_from_this<EndpointCall>
+class EndpointAttempt : public std::enable_shared_from_this<EndpointAttempt>
 {
 public:
     struct Options {
         event_base *loop = nullptr;
-        EndpointConnections *connections = nullptr;
+        EndpointConnectionPool *connections = nullptr;
         const Protocol *protocol = nullptr;
         routing::EndpointPointer endpoint{};
         std::string requestId{};
         std::string message{}; ///< The whole request as it is sent.
         bool isHead = false; ///< Its method is HEAD.
-        Duration longestIdle{0}; ///< Of a kept connection that may be used.
+        Duration maxIdle{0}; ///< Of a kept connection that may be used.
     };
 
     struct Callbacks {
         std::function<void(http::MessageHead &)> onHead{};
         std::function<void(std::string_view)> onBody{};
-        std::function<void(CallEnd)> onEnd{};
+        std::function<void(AttemptEnd)> onEnd{};
     };
 
-    EndpointCall(Options options, Callbacks callbacks);
-    ~EndpointCall();
-    EndpointCall(const EndpointCall &) = delete;
-    EndpointCall &operator=(const EndpointCall &) = delete;
+    EndpointAttempt(Options options, Callbacks callbacks);
+    ~EndpointAttempt();
+    EndpointAttempt(const EndpointAttempt &) = delete;
+    EndpointAttempt &operator=(const EndpointAttempt &) = delete;
 
     /** @return false if no connection can even be begun; no callback follows. */
     bool start();
@@ -75,21 +75,21 @@
     }
 
 private:
-    void received(std::string_view bytes);
-    bool takeHead();
-    void messageEnded(std::string_view surplus);
-    void connectionEnded(http::ConnectionEnd end);
-    void conclude(CallEnd end);
-    void release(bool isReusable);
+    void onBytes(std::string_view bytes);
+    bool handleHead();
+    void onMessageEnd(std::string_view trailing);
+    void onConnectionEnd(http::ConnectionEnd end);
+    void finish(AttemptEnd end);
+    void releaseConnection(bool isReusable);
 
     Options options_;
     Callbacks callbacks_;
     std::shared_ptr<http::Connection> connection_;
     http::MessageParser parser_{http::MessageParser::Kind::Answer};
-    bool isKept_ = false;
+    bool isReused_ = false;
     bool hasAnswer_ = false;
     bool isSkipping_ = false; ///< The message that is being read belongs to another request.
-    bool isDoubtful_ = false; ///< The connection must not be used again.
+    bool mustClose_ = false; ///< The connection must not be used again.
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/endpointconnections.cpp
+++ b/libs/forward/src/endpointconnectionpool.cpp
@@ -1,4 +1,4 @@
-#include "endpointconnections.h"
+#include "endpointconnectionpool.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,12 +13,12 @@
 
 } // namespace
 
-EndpointConnections::EndpointConnections(event_base *loop) : sweepTimer_(loop, [this] { sweep(); })
+EndpointConnectionPool::EndpointConnectionPool(event_base *loop) : sweepTimer_(loop, [this] { sweep(); })
 {
     sweepTimer_.start(SweepInterval);
 }
 
-std::shared_ptr<http::Connection> EndpointConnections::take(std::string_view endpoint, Duration longestIdle)
+std::shared_ptr<http::Connection> EndpointConnectionPool::take(std::string_view endpoint, Duration maxIdle)
 {
     const auto found = idle_.find(endpoint);
     if (found == idle_.end()) {
@@ -30,7 +30,7 @@
         Idle last = std::move(idle.back());
         idle.pop_back();
         last.connection->setCallbacks({});
-        if (last.connection->isOpen() && now < last.until && now - last.since <= longestIdle) {
+        if (last.connection->isOpen() && now < last.until && now - last.since <= maxIdle) {
             return last.connection;
         }
         last.connection->close();
@@ -38,7 +38,7 @@
     return nullptr;
 }
 
-void EndpointConnections::keep(const std::string &endpoint, std::shared_ptr<http::Connection> connection, Duration keepFor)
+void EndpointConnectionPool::put(const std::string &endpoint, std::shared_ptr<http::Connection> connection, Duration keepFor)
 {
     const BootTime now = BootClock::now();
     http::Connection *kept = connection.get();
@@ -47,7 +47,7 @@
     idle_[endpoint].push_back({.connection = std::move(connection), .since = now, .until = now + keepFor});
 }
 
-void EndpointConnections::closeAll(std::string_view endpoint)
+void EndpointConnectionPool::closeAll(std::string_view endpoint)
 {
     const auto found = idle_.find(endpoint);
     if (found == idle_.end()) {
@@ -59,7 +59,7 @@
     idle_.erase(found);
 }
 
-void EndpointConnections::sweep()
+void EndpointConnectionPool::sweep()
 {
     const BootTime now = BootClock::now();
     for (auto entry = idle_.begin(); entry != idle_.end();) {
--- a/libs/forward/src/endpointconnections.h
+++ b/libs/forward/src/endpointconnectionpool.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_ENDPOINTCONNECTIONS_H
-#define MAGNOLIA_FORWARD_ENDPOINTCONNECTIONS_H
+#ifndef MAGNOLIA_FORWARD_ENDPOINTCONNECTIONPOOL_H
+#define MAGNOLIA_FORWARD_ENDPOINTCONNECTIONPOOL_H
 
 #include "base/clock.h"
 #include "http/connection.h"
@@ -19,18 +19,18 @@
  *
  * One that says anything while idle is closed: the bytes belong to no request. Owned by the task, on its loop.
  */
-class EndpointConnections
+class EndpointConnectionPool
 {
 public:
-    explicit EndpointConnections(event_base *loop);
-    EndpointConnections(const EndpointConnections &) = delete;
-    EndpointConnections &operator=(const EndpointConnections &) = delete;
+    explicit EndpointConnectionPool(event_base *loop);
+    EndpointConnectionPool(const EndpointConnectionPool &) = delete;
+    EndpointConnectionPool &operator=(const EndpointConnectionPool &) = delete;
 
     /** @param longestIdle one that has been idle for longer is not taken. @return null if there is none. */
-    std::shared_ptr<http::Connection> take(std::string_view endpoint, Duration longestIdle);
+    std::shared_ptr<http::Connection> take(std::string_view endpoint, Duration maxIdle);
 
     /** @param keepFor how long the endpoint keeps it, by its own word. */
-    void keep(const std::string &endpoint, std::shared_ptr<http::Connection> connection, Duration keepFor);
+    void put(const std::string &endpoint, std::shared_ptr<http::Connection> connection, Duration keepFor);
 
     /** Closes all idle ones to that endpoint, e.g. after one was found silent. */
     void closeAll(std::string_view endpoint);
--- a/libs/forward/src/endpointlist.cpp
+++ b/libs/forward/src/endpointlist.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr Duration SoonestRemoval{20};
+constexpr Duration MinRemovalDelay{20};
 
 std::shared_ptr<spdlog::logger> log()
 {
@@ -23,12 +23,12 @@
 } // namespace
 
 EndpointList::EndpointList(event_base *loop, ForwardTask &task, routing::EndpointRoster::Options options)
-    : task_(task), roster_(options), removalTimer_(loop, [this] { removeDue(); })
+    : task_(task), roster_(options), removalTimer_(loop, [this] { removeExpired(); })
 {
 }
 
 /** An answer to a question put before a peer told of more would bring back what has left. @return false if it is older. */
-bool EndpointList::takesVersion(std::uint64_t version)
+bool EndpointList::acceptVersion(std::uint64_t version)
 {
     if (version < version_) {
         log()->info("An answer is older than what is known version={} own={}", version, version_);
@@ -43,8 +43,8 @@
 
 void EndpointList::applySnapshot(const routing::EndpointListing &listing)
 {
-    const bool knewNothing = version_ == 0;
-    if (!takesVersion(listing.version)) {
+    const bool wasEmpty = version_ == 0;
+    if (!acceptVersion(listing.version)) {
         return;
     }
     std::vector<std::string> ids;
@@ -54,33 +54,33 @@
     }
     const BootTime now = BootClock::now();
     for (const routing::KeptEndpoint &kept : listing.kept) {
-        if (knewNothing) {
-            put(std::span(&kept.record, 1));
+        if (wasEmpty) {
+            putRecords(std::span(&kept.record, 1));
         }
         if (const auto absence = roster_.keptByPeer(kept.record.id, kept.left, now)) {
-            noteAbsence(*absence, now);
+            logAbsence(*absence, now);
         }
     }
     for (const routing::Absence &absence : roster_.all(ids, now)) {
-        noteAbsence(absence, now);
+        logAbsence(absence, now);
     }
-    put(listing.endpoints);
-    removeDue();
+    putRecords(listing.endpoints);
+    removeExpired();
 }
 
 void EndpointList::applyDelta(const routing::EndpointListing &changed, std::span<const std::string> gone)
 {
-    if (!takesVersion(changed.version)) {
+    if (!acceptVersion(changed.version)) {
         return;
     }
-    put(changed.endpoints); // One that says that it leaves and goes at once is kept, if at all, as one that leaves.
+    putRecords(changed.endpoints); // One that says that it leaves and goes at once is kept, if at all, as one that leaves.
     const BootTime now = BootClock::now();
     for (const std::string &id : gone) {
         if (const auto absence = roster_.removed(id, now)) {
-            noteAbsence(*absence, now);
+            logAbsence(*absence, now);
         }
     }
-    removeDue();
+    removeExpired();
 }
 
 void EndpointList::applyPeerSnapshot(std::string_view document)
@@ -93,17 +93,17 @@
     applySnapshot(*listing);
 }
 
-void EndpointList::put(std::span<const routing::EndpointRecord> records)
+void EndpointList::putRecords(std::span<const routing::EndpointRecord> records)
 {
     for (const routing::EndpointRecord &record : records) {
         roster_.put(record);
         task_.putEndpoint(record);
     }
-    isDocumentOld_ = true;
+    isSnapshotStale_ = true;
 }
 
 /** Tells one that still gets requests for a while from one that does not. */
-void EndpointList::noteAbsence(const routing::Absence &absence, BootTime now)
+void EndpointList::logAbsence(const routing::Absence &absence, BootTime now)
 {
     const auto kept = std::chrono::duration_cast<Duration>(absence.goneAt - now);
     log()->info("Not on the list any more id={} kept_ms={}", absence.id, kept.count());
@@ -111,31 +111,31 @@
 
 void EndpointList::confirm(BootTime asOf)
 {
-    provedAt_ = std::max(provedAt_, asOf);
+    confirmedAt_ = std::max(confirmedAt_, asOf);
     roster_.confirmed(asOf, BootClock::now());
-    removeDue();
+    removeExpired();
 }
 
 std::string_view EndpointList::encodedSnapshot()
 {
-    if (isDocumentOld_ || roster_.nextDue()) { // How long one is still kept changes all the while.
-        isDocumentOld_ = false;
-        document_ = routing::encodeListing(roster_.listing(version_, BootClock::now()));
+    if (isSnapshotStale_ || roster_.nextDue()) { // How long one is still kept changes all the while.
+        isSnapshotStale_ = false;
+        snapshot_ = routing::encodeListing(roster_.listing(version_, BootClock::now()));
     }
-    return document_;
+    return snapshot_;
 }
 
-void EndpointList::removeDue()
+void EndpointList::removeExpired()
 {
     const BootTime now = BootClock::now();
     for (const std::string &id : roster_.takeDue(now)) {
-        isDocumentOld_ = true;
+        isSnapshotStale_ = true;
         task_.removeEndpoint(id);
     }
     // What is overdue waits for the next word of the list.
     const auto next = roster_.nextDue();
     if (next && *next > now) {
-        removalTimer_.start(std::max(std::chrono::ceil<Duration>(*next - now), SoonestRemoval));
+        removalTimer_.start(std::max(std::chrono::ceil<Duration>(*next - now), MinRemovalDelay));
     }
 }
 
--- a/libs/forward/src/endpointprobe.cpp
+++ b/libs/forward/src/endpointprobe.cpp
@@ -11,87 +11,87 @@
 {
 
 // A lost opening packet is sent again after a second; a successor at the same address takes about as long to start.
-constexpr Duration AnswerTime{1500};
+constexpr Duration ProbeTimeout{1500};
 
 // Endpoints keep idle connections for some seconds.
-constexpr Duration KeepTime{2000};
+constexpr Duration IdleTime{2000};
 
 } // namespace
 
-std::string_view toString(EndpointFate fate)
+std::string_view toString(ProbeResult result)
 {
-    switch (fate) {
-    case EndpointFate::Ended:
+    switch (result) {
+    case ProbeResult::Down:
         return "ended";
-    case EndpointFate::Lives:
+    case ProbeResult::Up:
         return "lives";
-    case EndpointFate::Unknown:
+    case ProbeResult::Unknown:
         return "unknown";
     }
     return "unknown";
 }
 
-EndpointProbe::EndpointProbe(event_base *loop, EndpointConnections &connections) : loop_(loop), connections_(connections) {}
+EndpointProbe::EndpointProbe(event_base *loop, EndpointConnectionPool &connections) : loop_(loop), connections_(connections) {}
 
-void EndpointProbe::ask(const routing::EndpointPointer &endpoint, std::function<void(EndpointFate)> done)
+void EndpointProbe::probe(const routing::EndpointPointer &endpoint, std::function<void(ProbeResult)> onDone)
 {
     const std::string &id = endpoint->record.id;
-    if (const auto found = questions_.find(id); found != questions_.end()) {
-        found->second->waiting.push_back(std::move(done));
+    if (const auto found = pending_.find(id); found != pending_.end()) {
+        found->second->callbacks.push_back(std::move(onDone));
         return;
     }
-    auto question = std::make_unique<Question>(loop_, [this, id] { timedOut(std::string(id)); });
-    question->endpoint = endpoint;
-    question->waiting.push_back(std::move(done));
-    dial(id, *question);
-    questions_.emplace(id, std::move(question));
+    auto pending = std::make_unique<PendingProbe>(loop_, [this, id] { onTimeout(std::string(id)); });
+    pending->endpoint = endpoint;
+    pending->callbacks.push_back(std::move(onDone));
+    dial(id, *pending);
+    pending_.emplace(id, std::move(pending));
 }
 
-void EndpointProbe::dial(const std::string &id, Question &question)
+void EndpointProbe::dial(const std::string &id, PendingProbe &pending)
 {
-    const auto address = http::SocketAddress::parse(question.endpoint->record.address);
+    const auto address = http::SocketAddress::parse(pending.endpoint->record.address);
     bool isRefused = false;
-    question.connection = address ? http::Connection::dial(loop_, *address, &isRefused) : nullptr;
-    if (question.connection == nullptr || question.connection->isConnected()) {
-        const EndpointFate otherwise = isRefused ? EndpointFate::Ended : EndpointFate::Unknown;
-        question.fate = question.connection != nullptr ? EndpointFate::Lives : otherwise;
-        question.timer.start(Duration(0));
+    pending.connection = address ? http::Connection::dial(loop_, *address, &isRefused) : nullptr;
+    if (pending.connection == nullptr || pending.connection->isConnected()) {
+        const ProbeResult otherwise = isRefused ? ProbeResult::Down : ProbeResult::Unknown;
+        pending.result = pending.connection != nullptr ? ProbeResult::Up : otherwise;
+        pending.timer.start(Duration(0));
         return;
     }
-    question.timer.start(AnswerTime);
+    pending.timer.start(ProbeTimeout);
     // Copies of the id, since settling replaces the callback that is running.
-    question.connection->setCallbacks({
-        .onConnected = [this, id] { settle(std::string(id), EndpointFate::Lives); },
-        .onEnd = [this, id](http::ConnectionEnd) { settle(std::string(id), EndpointFate::Ended); },
+    pending.connection->setCallbacks({
+        .onConnected = [this, id] { finish(std::string(id), ProbeResult::Up); },
+        .onEnd = [this, id](http::ConnectionEnd) { finish(std::string(id), ProbeResult::Down); },
     });
 }
 
-void EndpointProbe::timedOut(const std::string &id)
+void EndpointProbe::onTimeout(const std::string &id)
 {
-    const auto found = questions_.find(id);
-    if (found != questions_.end()) {
-        settle(id, found->second->fate);
+    const auto found = pending_.find(id);
+    if (found != pending_.end()) {
+        finish(id, found->second->result);
     }
 }
 
-void EndpointProbe::settle(const std::string &id, EndpointFate fate)
+void EndpointProbe::finish(const std::string &id, ProbeResult result)
 {
-    const auto found = questions_.find(id);
-    if (found == questions_.end()) {
+    const auto found = pending_.find(id);
+    if (found == pending_.end()) {
         return;
     }
-    const std::unique_ptr<Question> question = std::move(found->second);
-    questions_.erase(found);
-    const std::shared_ptr<http::Connection> connection = question->connection;
-    if (fate == EndpointFate::Lives && question->endpoint->takesWork()) {
-        connections_.keep(id, connection, KeepTime);
+    const std::unique_ptr<PendingProbe> pending = std::move(found->second);
+    pending_.erase(found);
+    const std::shared_ptr<http::Connection> connection = pending->connection;
+    if (result == ProbeResult::Up && pending->endpoint->takesWork()) {
+        connections_.put(id, connection, IdleTime);
     } else if (connection != nullptr) {
         connection->setCallbacks({});
         connection->close();
     }
-    observe::logger("endpoints")->info("Probed after a connection broke id={} address={} fate={}", id, question->endpoint->record.address, toString(fate));
-    for (const auto &done : question->waiting) {
-        done(fate);
+    observe::logger("endpoints")->info("Probed after a connection broke id={} address={} fate={}", id, pending->endpoint->record.address, toString(result));
+    for (const auto &onDone : pending->callbacks) {
+        onDone(result);
     }
 }
 
--- a/libs/forward/src/endpointprobe.h
+++ b/libs/forward/src/endpointprobe.h
@@ -1,7 +1,7 @@
 #ifndef MAGNOLIA_FORWARD_ENDPOINTPROBE_H
 #define MAGNOLIA_FORWARD_ENDPOINTPROBE_H
 
-#include "endpointconnections.h"
+#include "endpointconnectionpool.h"
 #include "http/connection.h"
 #include "http/timer.h"
 #include "routing/endpointtable.h"
@@ -16,14 +16,14 @@
 {
 
 /** What became of an endpoint to which a connection broke. */
-enum class EndpointFate : std::uint8_t {
-    Ended, ///< Nobody listens at its address any more.
-    Lives, ///< It takes connections: only that one broke.
+enum class ProbeResult : std::uint8_t {
+    Down, ///< Nobody listens at its address any more.
+    Up, ///< It takes connections: only that one broke.
     Unknown, ///< No word either way.
 };
 
 /** @return "ended", "lives" or "unknown". */
-std::string_view toString(EndpointFate fate);
+std::string_view toString(ProbeResult result);
 
 /**
  * Finds out by a new connection whether an endpoint ended when a connection to it broke.
@@ -39,31 +39,31 @@
 {
 public:
     /** @param connections outlive this. */
-    EndpointProbe(event_base *loop, EndpointConnections &connections);
+    EndpointProbe(event_base *loop, EndpointConnectionPool &connections);
     EndpointProbe(const EndpointProbe &) = delete;
     EndpointProbe &operator=(const EndpointProbe &) = delete;
 
     /** @param done called once, never from within; not any more once this is destroyed. */
-    void ask(const routing::EndpointPointer &endpoint, std::function<void(EndpointFate)> done);
+    void probe(const routing::EndpointPointer &endpoint, std::function<void(ProbeResult)> onDone);
 
 private:
-    struct Question {
-        Question(event_base *loop, std::function<void()> timeout) : timer(loop, std::move(timeout)) {}
+    struct PendingProbe {
+        PendingProbe(event_base *loop, std::function<void()> onTimer) : timer(loop, std::move(onTimer)) {}
 
         routing::EndpointPointer endpoint;
         std::shared_ptr<http::Connection> connection;
         http::Timer timer;
-        EndpointFate fate = EndpointFate::Unknown; ///< Told when the timer fires.
-        std::vector<std::function<void(EndpointFate)>> waiting;
+        ProbeResult result = ProbeResult::Unknown; ///< Told when the timer fires.
+        std::vector<std::function<void(ProbeResult)>> callbacks;
     };
 
-    void dial(const std::string &id, Question &question);
-    void timedOut(const std::string &id);
-    void settle(const std::string &id, EndpointFate fate);
+    void dial(const std::string &id, PendingProbe &pending);
+    void onTimeout(const std::string &id);
+    void finish(const std::string &id, ProbeResult result);
 
     event_base *loop_;
-    EndpointConnections &connections_;
-    routing::TextMap<std::unique_ptr<Question>> questions_; ///< By the endpoint's id.
+    EndpointConnectionPool &connections_;
+    routing::TextMap<std::unique_ptr<PendingProbe>> pending_; ///< By the endpoint's id.
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/eventsplitter.cpp
+++ b/libs/forward/src/eventsplitter.cpp
@@ -50,27 +50,27 @@
 
 std::string_view EventSplitter::feed(std::string_view bytes)
 {
-    rest_.append(bytes);
-    whole_.clear();
+    partialEvent_.append(bytes);
+    wholeEvents_.clear();
     std::size_t begin = 0;
     while (!hasGap_) {
-        const std::string_view left = std::string_view(rest_).substr(begin);
+        const std::string_view left = std::string_view(partialEvent_).substr(begin);
         const std::size_t end = endOfEvent(left);
         if (end == std::string_view::npos) {
             break;
         }
         const std::string_view event = left.substr(0, end);
         begin += end;
-        if (takeEvent(event)) {
-            whole_.append(event);
+        if (acceptEvent(event)) {
+            wholeEvents_.append(event);
         }
     }
-    rest_.erase(0, begin);
-    return whole_;
+    partialEvent_.erase(0, begin);
+    return wholeEvents_;
 }
 
 /** @return false if it is not to be passed on. */
-bool EventSplitter::takeEvent(std::string_view event)
+bool EventSplitter::acceptEvent(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
     if (!id) {
@@ -89,7 +89,7 @@
 
 void EventSplitter::resume()
 {
-    rest_.clear();
+    partialEvent_.clear();
     hasGap_ = false;
 }
 
--- a/libs/forward/src/eventsplitter.h
+++ b/libs/forward/src/eventsplitter.h
@@ -50,14 +50,14 @@
     /** @return true if no event has been cut short. */
     bool isAtBoundary() const
     {
-        return rest_.empty();
+        return partialEvent_.empty();
     }
 
 private:
-    bool takeEvent(std::string_view event);
+    bool acceptEvent(std::string_view event);
 
-    std::string rest_; ///< Of an event that is not whole.
-    std::string whole_;
+    std::string partialEvent_; ///< Of an event that is not whole.
+    std::string wholeEvents_;
     std::optional<std::uint64_t> lastId_;
     bool hasGap_ = false;
 };
--- a/libs/forward/src/forwardcore.h
+++ b/libs/forward/src/forwardcontext.h
@@ -1,15 +1,15 @@
-#ifndef MAGNOLIA_FORWARD_FORWARDCORE_H
-#define MAGNOLIA_FORWARD_FORWARDCORE_H
+#ifndef MAGNOLIA_FORWARD_FORWARDCONTEXT_H
+#define MAGNOLIA_FORWARD_FORWARDCONTEXT_H
 
 #include "base/random.h"
-#include "crashwatch.h"
-#include "endpointconnections.h"
+#include "crashtracker.h"
+#include "endpointconnectionpool.h"
 #include "forward/forwardtask.h"
 #include "forwardmetrics.h"
 #include "http/timer.h"
-#include "placequeue.h"
+#include "livenessmonitor.h"
 #include "requestlog.h"
-#include "silencewatch.h"
+#include "slotqueue.h"
 
 #include <functional>
 #include <memory>
@@ -21,11 +21,11 @@
 
 // A process that has just started knows its routes and endpoints within a few tens of milliseconds if the store answers.
 // Callers whose connections were cut by its end come back at that very moment, and would use up their retry on a refusal.
-constexpr Duration StartTime{3000};
+constexpr Duration StartupPeriod{3000};
 
 /** What all requests of an entry share; owned by its task. */
-struct ForwardCore {
-    ForwardCore(event_base *eventLoop, ForwardOptions forwardOptions, observe::Metrics &metricsRegistry)
+struct ForwardContext {
+    ForwardContext(event_base *eventLoop, ForwardOptions forwardOptions, observe::Metrics &metricsRegistry)
         : loop(eventLoop)
         , options(std::move(forwardOptions))
         , endpoints({.dataCentre = options.dataCentre})
@@ -33,26 +33,26 @@
         , connections(eventLoop)
         , random(seededRandom())
         , metrics(metricsRegistry)
-        , crashes(eventLoop, connections, options.quarantine, metrics, [this] { tellNewsSoon(); })
-        , silence(eventLoop, endpoints, metrics, options.protocol.livenessPath)
-        , newsTimer(eventLoop, [this] { tellNews(); })
+        , crashTracker(eventLoop, connections, options.quarantine, metrics, [this] { scheduleNotification(); })
+        , livenessMonitor(eventLoop, endpoints, metrics, options.protocol.livenessPath)
+        , notifyTimer(eventLoop, [this] { notifyWaiters(); })
     {
     }
 
     /** Whether a request may be taken: always, but while stopping only early, or if it ends before the process does. */
-    bool takesRequest(BootTime now, BootTime deadline) const
+    bool acceptsRequest(BootTime now, BootTime deadline) const
     {
-        return !isStopping || now < takesUntil || deadline <= endsAt;
+        return !isStopping || now < acceptsUntil || deadline <= exitsAt;
     }
 
     /** The process has just started, and may learn what it lacks any moment. */
     bool isStarting(BootTime now) const
     {
-        return now < startedAt + StartTime;
+        return now < startedAt + StartupPeriod;
     }
 
     /** Calls all who wait for news of routes or endpoints; each may begin to wait again. */
-    void tellNews()
+    void notifyWaiters()
     {
         for (const auto &waiter : std::exchange(waiters, {})) {
             waiter();
@@ -60,49 +60,49 @@
     }
 
     /** An endpoint of the service began a good answer: whoever waits for its group may try again. */
-    void served(std::string_view service)
+    void recordGoodAnswer(std::string_view service)
     {
-        const auto found = servedAt.find(service);
-        if (found == servedAt.end()) {
-            servedAt.emplace(service, BootClock::now());
+        const auto found = lastGoodAnswerAt.find(service);
+        if (found == lastGoodAnswerAt.end()) {
+            lastGoodAnswerAt.emplace(service, BootClock::now());
         } else {
             found->second = BootClock::now();
         }
         if (!waiters.empty()) {
-            tellNewsSoon();
+            scheduleNotification();
         }
     }
 
     /** The same on the loop's next turn, from within a call of one of them. */
-    void tellNewsSoon()
+    void scheduleNotification()
     {
-        newsTimer.start(Duration(0));
+        notifyTimer.start(Duration(0));
     }
 
-    routing::RetryAllowance &allowanceOf(std::string_view service)
+    routing::RetryAllowance &retryAllowanceOf(std::string_view service)
     {
-        const auto found = allowances.find(service);
-        if (found != allowances.end()) {
+        const auto found = retryAllowances.find(service);
+        if (found != retryAllowances.end()) {
             return found->second;
         }
-        return allowances.emplace(service, routing::RetryAllowance(options.retries)).first->second;
+        return retryAllowances.emplace(service, routing::RetryAllowance(options.retries)).first->second;
     }
 
-    PlaceQueue &placesOf(std::string_view service)
+    SlotQueue &slotsOf(std::string_view service)
     {
-        const auto found = places.find(service);
-        if (found != places.end()) {
+        const auto found = slotQueues.find(service);
+        if (found != slotQueues.end()) {
             return *found->second;
         }
         auto hasOpening = [this, name = std::string(service)] { return endpoints.hasOpening(name, BootClock::now(), random); };
-        return *places.emplace(service, std::make_unique<PlaceQueue>(loop, std::move(hasOpening))).first->second;
+        return *slotQueues.emplace(service, std::make_unique<SlotQueue>(loop, std::move(hasOpening))).first->second;
     }
 
     void setInstanceCount(std::size_t instances)
     {
         options.retries.instances = instances;
         endpoints.setInstances(instances);
-        for (auto &[service, allowance] : allowances) {
+        for (auto &[service, allowance] : retryAllowances) {
             allowance.setInstances(instances);
         }
     }
@@ -112,21 +112,21 @@
     routing::RouteTable::Pointer routes; ///< Null until the first version has come.
     routing::EndpointTable endpoints;
     routing::RoutingProof proof;
-    routing::TextMap<routing::RetryAllowance> allowances; ///< By service.
-    routing::TextMap<std::unique_ptr<PlaceQueue>> places; ///< By service.
-    routing::TextMap<BootTime> servedAt; ///< By service: when an endpoint last began a good answer.
-    EndpointConnections connections;
+    routing::TextMap<routing::RetryAllowance> retryAllowances; ///< By service.
+    routing::TextMap<std::unique_ptr<SlotQueue>> slotQueues; ///< By service.
+    routing::TextMap<BootTime> lastGoodAnswerAt; ///< By service: when an endpoint last began a good answer.
+    EndpointConnectionPool connections;
     Random random;
     ForwardMetrics metrics;
-    CrashWatch crashes;
-    SilenceWatch silence;
+    CrashTracker crashTracker;
+    LivenessMonitor livenessMonitor;
     RequestLog log;
     bool isStopping = false;
-    BootTime takesUntil; ///< While stopping: any request is taken before that.
-    BootTime endsAt; ///< While stopping: the process ends then at the latest.
+    BootTime acceptsUntil; ///< While stopping: any request is taken before that.
+    BootTime exitsAt; ///< While stopping: the process ends then at the latest.
     BootTime startedAt = BootClock::now();
     std::vector<std::function<void()>> waiters; ///< For the next news.
-    http::Timer newsTimer;
+    http::Timer notifyTimer;
 };
 
 } // namespace magnolia::forward
--- /dev/null
+++ b/libs/forward/src/forwardedrequest.cpp
@@ -0,0 +1,969 @@
+#include "forwardedrequest.h"
+
+#include "headervalues.h"
+#include "localanswer.h"
+#include "outgoingrequest.h"
+
+#include <algorithm>
+#include <random>
+#include <utility>
+
+namespace magnolia::forward
+{
+
+namespace
+{
+
+using routing::EndpointSign;
+using routing::RouteKind;
+
+constexpr int StatusOk = 200;
+constexpr int FirstRedirect = 300;
+constexpr int FirstServerError = 500;
+constexpr int StatusMisdirected = 421;
+constexpr int StatusTooManyRequests = 429;
+constexpr int StatusBadGateway = 502;
+constexpr int StatusUnavailable = 503;
+constexpr int StatusTimeout = 504;
+
+constexpr Duration OverdueRecheckInterval{100};
+
+// For a request that may run at most once only a connection is used that the endpoint is not likely to be closing just
+// now: if it were, nobody could tell whether the request ran.
+constexpr Duration MaxIdleAtMostOnce{1000};
+constexpr Duration MaxIdle{60000};
+
+// A stream waits for a place for half of its objective: its first event comes in about the other half.
+constexpr int ObjectiveShare = 2;
+constexpr routing::Priority DefaultPriority = 5; // Of a request that states none, as endpoints take it.
+
+// News of routes and endpoints is waited for so long at most, and for a third of what the caller allows: after that it can
+// still try another instance.
+constexpr Duration MaxUpdateWait{1500};
+constexpr int UpdateWaitShare = 3;
+
+// With nobody to send to, or only refusals: engines that restart are back after about a second.
+constexpr Duration RetryAfterUnavailable{800};
+constexpr Duration RetryAfterFull{1000}; // Streams last one to two seconds.
+// A group that did not come back while its caller waited lacks a rank, which is restarted or replaced within some seconds.
+constexpr Duration RetryAfterGroup{1800};
+constexpr Duration RetryAfterStopping{50}; // Another instance takes it at once.
+
+// Beyond this the endpoint is not read any more until the caller has taken some.
+constexpr std::size_t MaxPendingBytes = 256U << 10U;
+
+// A whole answer is held in memory until it has come; more than this is no answer to a request of this kind.
+constexpr std::size_t MaxAnswerBytes = 16U << 20U;
+
+constexpr std::string_view TraceHeader = "traceparent"; // W3C trace context.
+constexpr std::string_view EventStream = "text/event-stream";
+
+bool isSuccess(int status)
+{
+    return status >= StatusOk && status < FirstRedirect;
+}
+
+} // namespace
+
+ForwardedRequest::ForwardedRequest(ForwardContext &context, AnswerWriter &writer, CallerRequest request)
+    : context_(context)
+    , writer_(&writer)
+    , request_(std::move(request))
+    , requestId_(request_.head.headers.value(context.options.protocol.requestId))
+    , bounds_(callerBoundsOf(request_, context.options.protocol))
+    , updateWaitEnds_(request_.receivedAt + std::min(MaxUpdateWait, bounds_.allowed() / UpdateWaitShare))
+    , timer_(context.loop, [this] { onTimer(); })
+    , spans_(context.options.tracer)
+{
+    context_.metrics.requests.add();
+    context_.metrics.inProgress.add(1);
+}
+
+ForwardedRequest::~ForwardedRequest()
+{
+    context_.metrics.inProgress.add(-1);
+    if (attempt_ != nullptr) {
+        endAttempt(EndpointSign::Refused);
+    }
+}
+
+void ForwardedRequest::start()
+{
+    const auto self = shared_from_this();
+    spans_.begin(request_.head.headers.value(TraceHeader), requestId_);
+    admit();
+}
+
+void ForwardedRequest::admit()
+{
+    routes_ = context_.routes;
+    auto admitted = admitRequest(
+        {.routes = routes_.get(), .proof = &context_.proof, .protocol = &context_.options.protocol, .request = &request_, .now = BootClock::now()});
+    if (!admitted) {
+        handleRejection(admitted.error());
+        return;
+    }
+    route_ = admitted->route;
+    organisation_ = admitted->organisation;
+    fingerprint_ = std::move(admitted->fingerprint);
+    if (endIfQuarantined()) {
+        return;
+    }
+    bounds_.takeRoute(*route_);
+    if (!context_.acceptsRequest(BootClock::now(), bounds_.deadline())) {
+        reject(StatusUnavailable, RetryAfterStopping, "this entry is stopping");
+        return;
+    }
+    pickService();
+    context_.retryAllowanceOf(service_).requestCame(BootClock::now());
+    if (const auto resumed = numberOf<std::uint64_t>(request_.head.headers.value(context_.options.protocol.lastEventId))) {
+        splitter_.startAfter(*resumed);
+    }
+    acquireSlot();
+}
+
+void ForwardedRequest::handleRejection(const Rejection &rejection)
+{
+    route_ = rejection.route;
+    if (!rejection.retryAfter) {
+        sendLocalAnswer(rejection.status, std::nullopt, rejection.cause);
+        return;
+    }
+    if (!waitForUpdate()) {
+        reject(rejection.status, *rejection.retryAfter, rejection.cause);
+    }
+}
+
+void ForwardedRequest::pickService()
+{
+    const double point = std::uniform_real_distribution<double>(0, 1)(context_.random);
+    service_ = routing::pickTarget(*route_, point).service;
+    slots_ = &context_.slotsOf(service_);
+    const routing::Service *service = routes_->service(service_);
+    stepModel_ = service != nullptr && service->steps ? &*service->steps : nullptr;
+}
+
+/** A stream takes a place among those in progress, or waits for one as long as it could still be in time. */
+void ForwardedRequest::acquireSlot()
+{
+    const BootTime now = BootClock::now();
+    if (route_->kind != RouteKind::Stream || slots_->hasFreeSlot(now)) {
+        dispatchNext();
+        return;
+    }
+    waitingFor_ = Waiting::ForSlot;
+    waitingSince_ = now;
+    waitingEnds_ = request_.receivedAt + route_->latencyObjective / ObjectiveShare;
+    slots_->enqueue(priority().value_or(DefaultPriority), now, [waiting = weak_from_this()] {
+        const auto self = waiting.lock();
+        if (self != nullptr && self->stopWaitingFor(Waiting::ForSlot)) {
+            self->slotWait_ = BootClock::now() - self->waitingSince_;
+            self->dispatchNext();
+        }
+    });
+    startTimer();
+}
+
+/** @return false if it was not waiting for that. */
+bool ForwardedRequest::stopWaitingFor(Waiting awaited)
+{
+    if (waitingFor_ != awaited) {
+        return false;
+    }
+    waitingFor_ = Waiting::ForNothing;
+    return true;
+}
+
+/** @return false if there is nothing to wait for, or the time for it is over. */
+bool ForwardedRequest::waitForUpdate()
+{
+    const BootTime now = BootClock::now();
+    if (!context_.isStarting(now) || now >= updateWaitEnds_) {
+        return false;
+    }
+    beginWaiting(updateWaitEnds_);
+    return true;
+}
+
+/** Waits until the endpoint's group may be tried again. @return false if the time for it is over. */
+bool ForwardedRequest::waitForGroup(const routing::Endpoint &endpoint)
+{
+    const BootTime latest = std::min(updateWaitEnds_, latestDispatch());
+    if (isStreaming_ || BootClock::now() >= latest) {
+        return false;
+    }
+    // What was refused once costs the retry budget: it waits until a new request has shown that the group runs again.
+    beginWaiting(needsRetryBudget_ ? latest : std::min(latest, endpoint.refusesUntil));
+    return true;
+}
+
+bool ForwardedRequest::hasGroupRecovered() const
+{
+    const auto served = context_.lastGoodAnswerAt.find(service_);
+    return served != context_.lastGoodAnswerAt.end() && served->second > groupRefusedAt_;
+}
+
+void ForwardedRequest::beginWaiting(BootTime until)
+{
+    waitingFor_ = Waiting::ForUpdate;
+    waitingEnds_ = until;
+    if (!std::exchange(isWaiterRegistered_, true)) {
+        context_.waiters.push_back([waiting = weak_from_this()] {
+            if (const auto self = waiting.lock()) {
+                self->isWaiterRegistered_ = false;
+                self->resumeAfterUpdate();
+            }
+        });
+    }
+    startTimer();
+}
+
+void ForwardedRequest::resumeAfterUpdate()
+{
+    if (!stopWaitingFor(Waiting::ForUpdate) || endIfQuarantined()) {
+        return;
+    }
+    if (needsRetryBudget_ && !hasGroupRecovered() && BootClock::now() < waitingEnds_) {
+        beginWaiting(waitingEnds_);
+        return;
+    }
+    const bool isAdmitted = route_ != nullptr && !service_.empty();
+    isAdmitted ? dispatchNext() : admit();
+}
+
+BootClock::duration ForwardedRequest::timeLeft() const
+{
+    return bounds_.deadline() - BootClock::now();
+}
+
+void ForwardedRequest::dispatchNext()
+{
+    if (endIfQuarantined()) {
+        return;
+    }
+    if (writer_->hasCallerLeft()) { // A process that is late may read the request and the caller's end together.
+        startTimer();
+        return;
+    }
+    const BootTime now = BootClock::now();
+    if (now >= latestDispatch()) {
+        endOverdue(overdueCause());
+        return;
+    }
+    const routing::EndpointPointer endpoint = chooseEndpoint();
+    if (endpoint != nullptr && now < endpoint->refusesUntil && waitForGroup(*endpoint)) {
+        return;
+    }
+    if (endpoint != nullptr && needsRetryBudget_ && !context_.retryAllowanceOf(service_).tryRetry(now)) {
+        context_.metrics.retriesDenied.add();
+        reject(StatusUnavailable, RetryAfterGroup, "its group does not run, and the retry budget is used up");
+        return;
+    }
+    if (endpoint != nullptr) {
+        needsRetryBudget_ = false;
+        dispatch(endpoint);
+        return;
+    }
+    if (attempts_.tried().empty() && waitForUpdate()) {
+        return;
+    }
+    const bool isFirst = attempts_.tried().empty() && !mayHaveRun_ && !isStreaming_;
+    endUnsuccessfully(isFirst ? "no endpoint takes work" : "no other endpoint takes work", StatusBadGateway);
+}
+
+/** @return null if there is none. Never one more endpoint than the route allows. */
+routing::EndpointPointer ForwardedRequest::chooseEndpoint() const
+{
+    if (needsRetryBudget_ && attempts_.hasReachedLimit(route_->maxEndpoints)) {
+        const routing::EndpointPointer last = context_.endpoints.find(attempts_.lastReached());
+        return last != nullptr && last->takesWork() ? last : nullptr;
+    }
+    const bool hasReports = context_.crashTracker.nextOrdinal(fingerprint_) > 1;
+    return context_.endpoints.choose({.service = service_, .tried = attempts_.tried(), .isSuspect = hasReports}, BootClock::now(), context_.random);
+}
+
+void ForwardedRequest::dispatch(const routing::EndpointPointer &endpoint)
+{
+    context_.endpoints.sendingTo(*endpoint, BootClock::now(), context_.random);
+    attempts_.add(endpoint->record.id);
+    ordinal_ = context_.crashTracker.nextOrdinal(fingerprint_);
+    endpoint_ = endpoint;
+    spans_.beginAttempt(endpoint->record.id);
+    sentAt_ = BootClock::now();
+    heardAt_ = sentAt_;
+    unbegunWhenSent_ = endpoint->unbegun;
+    silenceWhenSent_ = endpoint->inFlight == 0 ? BootClock::duration(0) : sentAt_ - endpoint->silentSince();
+    incoming_ = {};
+    isStreamAnswer_ = false;
+    const bool isAtMostOnce = route_->kind == RouteKind::AtMostOnce;
+    attempt_ = std::make_shared<EndpointAttempt>(EndpointAttempt::Options{.loop = context_.loop,
+                                                                          .connections = &context_.connections,
+                                                                          .protocol = &context_.options.protocol,
+                                                                          .endpoint = endpoint,
+                                                                          .requestId = requestId_,
+                                                                          .message = messageFor(*endpoint),
+                                                                          .isHead = request_.head.method == "HEAD",
+                                                                          .maxIdle = isAtMostOnce ? MaxIdleAtMostOnce : MaxIdle},
+                                                 EndpointAttempt::Callbacks{.onHead = [this](http::MessageHead &head) { onAnswerHead(head); },
+                                                                            .onBody = [this](std::string_view piece) { onAnswerBody(piece); },
+                                                                            .onEnd = [this](AttemptEnd end) { onAttemptEnd(end); }});
+    ++endpoint->inFlight;
+    endpoint->suspects += hasCrashReports() ? 1 : 0;
+    slots_->reserve();
+    if (route_->kind == RouteKind::Stream) {
+        isCountedUnbegun_ = true;
+        ++endpoint->unbegun;
+        context_.livenessMonitor.addRequest(endpoint, this, [moving = weak_from_this()] {
+            const auto self = moving.lock();
+            if (self != nullptr && self->attempt_ != nullptr && !self->leaveUnresponsive("endpoint silent")) {
+                self->startTimer(); // An answer may be due sooner now.
+            }
+        });
+    }
+    context_.metrics.attempts.add();
+    if (!attempt_->start()) {
+        onAttemptEnd(AttemptEnd::NotSent);
+        return;
+    }
+    startTimer();
+}
+
+std::optional<routing::Priority> ForwardedRequest::priority() const
+{
+    return organisation_ != nullptr && organisation_->priority ? organisation_->priority : route_->priority;
+}
+
+std::string ForwardedRequest::messageFor(const routing::Endpoint &endpoint) const
+{
+    return writeRequest(context_.options.protocol,
+                        {.request = &request_,
+                         .expectedInstance = endpoint.record.id,
+                         .left = std::chrono::duration_cast<Duration>(timeLeft()),
+                         .organisation = organisation_ == nullptr ? std::string_view() : std::string_view(organisation_->name),
+                         .priority = route_->kind == RouteKind::Stream ? priority() : std::nullopt,
+                         .lastEventId = splitter_.lastId(),
+                         .traceparent = spans_.attemptTraceparent()});
+}
+
+bool ForwardedRequest::isRepeatable() const
+{
+    return route_->kind == RouteKind::Idempotent || (route_->kind == RouteKind::Stream && route_->isResumable);
+}
+
+/** @return why it may not be sent elsewhere; empty if it may, which is then counted against the retry budget. */
+std::string_view ForwardedRequest::reserveRetry()
+{
+    if (mayHaveRun_ && !isRepeatable()) {
+        return "may not be repeated";
+    }
+    if (!attempts_.allowsAnother(route_->maxEndpoints)) {
+        return "as many endpoints as allowed were tried";
+    }
+    if (BootClock::now() >= latestDispatch()) {
+        return overdueCause();
+    }
+    if (!context_.retryAllowanceOf(service_).tryRetry(BootClock::now())) {
+        context_.metrics.retriesDenied.add();
+        return "the retry budget is used up";
+    }
+    return {};
+}
+
+void ForwardedRequest::logFailedAttempt(std::string_view end, int status, std::string_view atFault, std::string_view decision)
+{
+    context_.log.logFailedAttempt({.requestId = requestId_,
+                                   .fingerprint = fingerprint_,
+                                   .endpoint = endpoint_->record.id,
+                                   .end = end,
+                                   .status = status,
+                                   .atFault = atFault,
+                                   .decision = decision,
+                                   .took = BootClock::now() - sentAt_,
+                                   .inProgressThere = endpoint_->inFlight});
+}
+
+/** What is known of the endpoint as it is told, by the end of its connection, to stop the work. */
+void ForwardedRequest::logCancelledAttempt(std::string_view cause)
+{
+    if (attempt_ == nullptr) {
+        return;
+    }
+    const BootTime now = BootClock::now();
+    context_.log.logCancelledAttempt({.requestId = requestId_,
+                                      .endpoint = endpoint_->record.id,
+                                      .cause = cause,
+                                      .isConnected = attempt_->isConnected(),
+                                      .isAnswering = attempt_->hasAnswer(),
+                                      .took = now - sentAt_,
+                                      .callerStays = bounds_.nextEventDue() - now,
+                                      .unbegunAhead = unbegunWhenSent_,
+                                      .silenceWhenSent = silenceWhenSent_,
+                                      .silence = now - heardAt_,
+                                      .endpointSilence = now - endpoint_->silentSince(),
+                                      .serviceSilence = now - context_.endpoints.serviceHeardAt(service_),
+                                      .inProgressThere = endpoint_->inFlight});
+}
+
+/** Sends it elsewhere if kind, bound and budget allow. @return false if not. */
+bool ForwardedRequest::retryElsewhere(std::string_view cause)
+{
+    const std::string_view denial = reserveRetry();
+    logFailedAttempt(cause,
+                     incoming_.head.status,
+                     incoming_.head.headers.value(context_.options.protocol.endpointAtFault),
+                     denial.empty() ? std::string_view("retry") : denial);
+    if (!denial.empty()) {
+        return false;
+    }
+    context_.metrics.retries.add();
+    hasRetried_ = true;
+    if (isStreaming_) {
+        context_.metrics.resumed.add();
+    }
+    if (waitingFor_ == Waiting::ForProbe) {
+        startTimer();
+    } else {
+        dispatchNext();
+    }
+    return true;
+}
+
+/** The connection to the endpoint broke under the request: nothing is sent elsewhere before it is known whether the endpoint ended. */
+void ForwardedRequest::waitForProbe()
+{
+    waitingFor_ = Waiting::ForProbe;
+    waitingEnds_ = BootClock::now() + routing::ConnectTimeout;
+    context_.crashTracker.probeEndpoint(endpoint_, {.fingerprint = fingerprint_, .ordinal = ordinal_}, [waiting = weak_from_this()] {
+        const auto self = waiting.lock();
+        if (self != nullptr && self->stopWaitingFor(Waiting::ForProbe)) {
+            self->dispatchNext();
+        }
+    });
+}
+
+/** @return true if endpoints ended under its like: it is sent to no other. */
+bool ForwardedRequest::endIfQuarantined()
+{
+    const auto left = context_.crashTracker.quarantineLeft(fingerprint_);
+    if (!left) {
+        return false;
+    }
+    constexpr std::string_view Cause = "endpoints ended under this request before";
+    context_.metrics.quarantined.add();
+    if (mayHaveRun_ || isStreaming_) {
+        endUnsuccessfully(Cause, StatusBadGateway);
+    } else {
+        reject(StatusTooManyRequests, *left, Cause);
+    }
+    return true;
+}
+
+void ForwardedRequest::onAnswerHead(http::MessageHead &head)
+{
+    const auto self = shared_from_this();
+    heardAt_ = BootClock::now();
+    context_.endpoints.heard(*endpoint_, heardAt_);
+    const Protocol &protocol = context_.options.protocol;
+    if (protocol.parseLoad != nullptr) {
+        if (const auto load = protocol.parseLoad(head.headers.value(protocol.load))) {
+            routing::EndpointTable::reported(*endpoint_, *load, heardAt_);
+            slots_->limit().reported(*load, heardAt_);
+        }
+    }
+    updateRateLimit(head);
+    incoming_.head = head;
+    releaseUnbegun();
+    context_.endpoints.begun(*endpoint_, sentAt_);
+    if (isSuccess(head.status)) {
+        context_.endpoints.groupAnswered(*endpoint_);
+        context_.recordGoodAnswer(service_);
+    }
+    const bool isEvents = head.headers.value("content-type").starts_with(EventStream);
+    isStreamAnswer_ = route_->kind == RouteKind::Stream && isSuccess(head.status) && isEvents;
+    if (isStreamAnswer_) {
+        if (heardAt_ < answerDue()) { // Else this process was late, not the service.
+            context_.endpoints.streamBegan(service_, heardAt_ - sentAt_, heardAt_);
+        }
+        splitter_.resume();
+    }
+}
+
+void ForwardedRequest::updateRateLimit(const http::MessageHead &head)
+{
+    if (head.status == StatusMisdirected) {
+        return; // Another endpoint may have answered at that address.
+    }
+    const std::string *stated = head.headers.find(context_.options.protocol.rateLimit);
+    const auto perSecond = stated != nullptr ? rateOf(*stated) : std::nullopt;
+    if (stated != nullptr && !perSecond) {
+        context_.log.logInvalidRateLimit(endpoint_->record.id, *stated);
+        return;
+    }
+    if (context_.endpoints.limitStated(*endpoint_, perSecond, heardAt_, context_.random)) {
+        context_.log.logRateLimit(endpoint_->record.id, perSecond);
+    }
+}
+
+void ForwardedRequest::onAnswerBody(std::string_view piece)
+{
+    const auto self = shared_from_this();
+    heardAt_ = BootClock::now();
+    context_.endpoints.heard(*endpoint_, heardAt_);
+    if (isStreamAnswer_) {
+        relayEvents(piece);
+        return;
+    }
+    incoming_.body.append(piece);
+    if (incoming_.body.size() > MaxAnswerBytes) {
+        mayHaveRun_ = true;
+        endAttempt(EndpointSign::Answered);
+        fail(StatusBadGateway, "the answer is over the limit");
+    }
+}
+
+void ForwardedRequest::relayEvents(std::string_view piece)
+{
+    const std::string_view events = splitter_.feed(piece);
+    if (splitter_.hasGap()) {
+        onAttemptEnd(AttemptEnd::Invalid);
+        return;
+    }
+    if (events.empty()) {
+        return;
+    }
+    if (!isStreaming_) {
+        isStreaming_ = true;
+        firstByteAt_ = heardAt_;
+        context_.metrics.firstByte.record(heardAt_ - request_.receivedAt);
+        http::HeaderList headers = incoming_.head.headers;
+        headers.removeHopByHop();
+        writer_->beginStream(incoming_.head.status, headers);
+    }
+    if (writer_ == nullptr) {
+        return;
+    }
+    recordPause();
+    ++eventCount_;
+    bounds_.eventSent(heardAt_);
+    writer_->sendPiece(events);
+    if (writer_ != nullptr && attempt_ != nullptr && writer_->pendingBytes() > MaxPendingBytes) {
+        isReadingPaused_ = true;
+        attempt_->setReading(false);
+    }
+}
+
+/** Tells the service's limit of the time between two events. */
+void ForwardedRequest::recordPause()
+{
+    const BootTime before = std::exchange(lastEventAt_, heardAt_);
+    if (eventCount_ == 0) {
+        return;
+    }
+    longestPause_ = std::max(longestPause_, heardAt_ - before);
+    if (stepModel_ == nullptr) {
+        return;
+    }
+    const routing::ConcurrencyLimit::Pause pause{.pause = heardAt_ - before, .objective = route_->pauseObjective, .inProgress = slots_->inProgress()};
+    if (slots_->limit().paused(pause, *stepModel_, heardAt_)) {
+        context_.log.logStreamLimit(service_, pause.pause, pause.inProgress, slots_->limit().limit(heardAt_).value_or(0));
+    }
+}
+
+void ForwardedRequest::onCallerDrained()
+{
+    if (!std::exchange(isReadingPaused_, false)) {
+        return;
+    }
+    heardAt_ = BootClock::now(); // The silence was the caller's.
+    bounds_.eventSent(heardAt_);
+    if (attempt_ != nullptr) {
+        attempt_->setReading(true);
+        startTimer();
+    }
+}
+
+void ForwardedRequest::onAttemptEnd(AttemptEnd end)
+{
+    const auto self = shared_from_this();
+    if (attempt_ == nullptr) {
+        return;
+    }
+    if (isStreamAnswer_) {
+        handleStreamEnd(end);
+        return;
+    }
+    if (end == AttemptEnd::Complete) {
+        handleWholeAnswer();
+        return;
+    }
+    const bool isUnsent = end == AttemptEnd::NotSent;
+    mayHaveRun_ = mayHaveRun_ || !isUnsent;
+    if (end == AttemptEnd::ConnectionLost) {
+        waitForProbe();
+    }
+    endAttempt(isUnsent ? EndpointSign::Unreachable : EndpointSign::Failed);
+    if (isUnsent) {
+        // It reached nobody, so it counts neither against the route's bound nor, for the endpoint, as an arrival.
+        attempts_.forgetLast();
+        endpoint_->avoidUntil = std::max(endpoint_->avoidUntil, BootClock::now() + routing::ConnectTimeout);
+        const bool mayDialAgain = attempts_.count() <= context_.endpoints.ofService(service_).size();
+        if (mayDialAgain && timeLeft().count() > 0) {
+            logFailedAttempt(toString(end), 0, {}, "dial another");
+            dispatchNext();
+            return;
+        }
+    }
+    if (retryElsewhere(toString(end))) {
+        return;
+    }
+    endUnsuccessfully(toString(end), StatusBadGateway);
+}
+
+void ForwardedRequest::handleWholeAnswer()
+{
+    const int status = incoming_.head.status;
+    const Protocol &protocol = context_.options.protocol;
+    const bool isNotRun = status == StatusMisdirected || incoming_.head.headers.find(protocol.notRun) != nullptr;
+    if (isNotRun) {
+        // The expected instance is not at that address any more, or the endpoint has no room.
+        const std::string atFault(incoming_.head.headers.value(protocol.endpointAtFault));
+        const bool isNamedPeer = !atFault.empty() && atFault != endpoint_->record.address;
+        // One that refuses though it has room can't run at all just now, e.g. since its group is forming.
+        const bool hasRoom = endpoint_->load.running + endpoint_->load.waiting < endpoint_->record.slots && endpoint_->reportedAt == heardAt_;
+        const bool isForPeer = status == StatusUnavailable && (isNamedPeer || hasRoom);
+        endAttempt(status == StatusMisdirected ? EndpointSign::Unreachable : EndpointSign::Refused);
+        if (isForPeer) {
+            context_.endpoints.refusedForPeer(*endpoint_, atFault, BootClock::now());
+        }
+        if (isForPeer && !mayHaveRun_ && !isStreaming_) {
+            needsRetryBudget_ = true;
+            groupRefusedAt_ = BootClock::now();
+            attempts_.forgetLast(); // It may be tried again, and does not count twice against the route's bound.
+            if (waitForGroup(*endpoint_)) {
+                logFailedAttempt("not-run", status, atFault, "wait for its group");
+                return;
+            }
+            reject(StatusUnavailable, RetryAfterGroup, "its group does not run");
+            return;
+        }
+        if (retryElsewhere("not-run")) {
+            return;
+        }
+        endUnsuccessfully("endpoints refused", StatusBadGateway);
+        return;
+    }
+    mayHaveRun_ = true;
+    context_.crashTracker.recordAnswer(fingerprint_);
+    const bool isProved = incoming_.head.headers.find(protocol.answerProof) != nullptr;
+    if (isSuccess(status) && !isProved) {
+        onAttemptEnd(AttemptEnd::Invalid);
+        return;
+    }
+    const bool isFailure = status >= FirstServerError;
+    endAttempt(isFailure ? EndpointSign::Failed : EndpointSign::Answered);
+    if (isStreaming_) {
+        if (!retryElsewhere("failure")) {
+            abortStream("the endpoint that should go on failed");
+        }
+        return;
+    }
+    if (isFailure && isRepeatable()) {
+        BufferedAnswer failure = std::move(incoming_);
+        incoming_ = {};
+        incoming_.head.status = status;
+        fallback_ = std::move(failure);
+        if (retryElsewhere("failure")) {
+            return;
+        }
+        relayAnswer(std::move(*fallback_));
+        return;
+    }
+    relayAnswer(std::move(incoming_));
+}
+
+void ForwardedRequest::handleStreamEnd(AttemptEnd end)
+{
+    mayHaveRun_ = true;
+    const bool isWhole = end == AttemptEnd::Complete && splitter_.isAtBoundary() && isStreaming_;
+    endAttempt(isWhole ? EndpointSign::Answered : EndpointSign::Failed);
+    if (isWhole) {
+        context_.crashTracker.recordAnswer(fingerprint_);
+        writer_->endStream();
+        context_.metrics.answers.add();
+        finish("answered", incoming_.head.status, "");
+        return;
+    }
+    if (end == AttemptEnd::ConnectionLost) {
+        waitForProbe();
+    }
+    if (retryElsewhere(toString(end))) {
+        return;
+    }
+    if (isStreaming_) {
+        abortStream(toString(end));
+    } else {
+        fail(StatusBadGateway, toString(end));
+    }
+}
+
+void ForwardedRequest::relayAnswer(BufferedAnswer answer)
+{
+    answer.head.headers.removeHopByHop();
+    firstByteAt_ = BootClock::now();
+    writer_->sendAnswer(answer.head.status, answer.head.headers, answer.body);
+    context_.metrics.answers.add();
+    context_.metrics.firstByte.record(firstByteAt_ - request_.receivedAt);
+    finish("answered", answer.head.status, hasRetried_ ? "retried" : "");
+}
+
+void ForwardedRequest::startTimer()
+{
+    const BootTime now = BootClock::now();
+    BootTime next = waitingFor_ == Waiting::ForNothing ? answerDue() : std::min(answerDue(), waitingEnds_);
+    if (attempt_ != nullptr) {
+        const BootTime bound = attemptDeadline();
+        // A bound that has passed without effect, e.g. for want of retry budget, is looked at again now and then.
+        next = std::min(next, bound > now ? bound : now + OverdueRecheckInterval);
+    }
+    timer_.start(std::max(std::chrono::ceil<Duration>(next - now), Duration(1)));
+}
+
+routing::SendingOutlook ForwardedRequest::timingPolicy() const
+{
+    return routing::SendingOutlook(
+        {.bounds = bounds_, .route = *route_, .endpoints = context_.endpoints, .service = service_, .isWatched = context_.livenessMonitor.isEnabled()});
+}
+
+routing::SendingState ForwardedRequest::attemptState() const
+{
+    return {.endpoint = endpoint_.get(), .sentAt = sentAt_, .heardAt = heardAt_, .isConnected = attempt_->isConnected(), .hasAnswer = attempt_->hasAnswer()};
+}
+
+/** @return until when the call in progress is left alone. */
+BootTime ForwardedRequest::attemptDeadline() const
+{
+    return isReadingPaused_ ? bounds_.deadline() : timingPolicy().patienceEnds(attemptState(), BootClock::now());
+}
+
+void ForwardedRequest::onTimer()
+{
+    const auto self = shared_from_this();
+    const BootTime now = BootClock::now();
+    if (now >= answerDue()) {
+        endOverdue(overdueCause());
+        return;
+    }
+    if (waitingFor_ == Waiting::ForSlot && now >= waitingEnds_) {
+        context_.metrics.withoutSlot.add();
+        reject(StatusUnavailable, RetryAfterFull, "its service has as many streams in progress, or yet to begin, as stay in time");
+        return;
+    }
+    if (waitingFor_ == Waiting::ForUpdate && now >= waitingEnds_) {
+        resumeAfterUpdate();
+        return;
+    }
+    if (waitingFor_ == Waiting::ForProbe && now >= waitingEnds_) {
+        waitingFor_ = Waiting::ForNothing;
+        dispatchNext();
+        return;
+    }
+    if (attempt_ == nullptr) {
+        startTimer(); // Timers may fire a little early.
+        return;
+    }
+    const bool isOver = now >= attemptDeadline();
+    if (isOver && !attempt_->isConnected()) {
+        onAttemptEnd(AttemptEnd::NotSent);
+        return;
+    }
+    if (!isOver || !leaveUnresponsive("silent")) {
+        startTimer();
+    }
+}
+
+/** @return when the caller has to be told something, or it leaves. */
+BootTime ForwardedRequest::answerDue() const
+{
+    // A stream that has begun and is only where it can be called back when its caller leaves may go on until then.
+    const bool mayGoOn = isStreaming_ && attempt_ != nullptr && !endpoint_->isSilent && !mayRunUnreachably_;
+    return isReadingPaused_ || mayGoOn ? bounds_.deadline() : bounds_.nextEventDue();
+}
+
+BootTime ForwardedRequest::latestDispatch() const
+{
+    return isReadingPaused_ ? bounds_.deadline() : timingPolicy().latestSending(BootClock::now());
+}
+
+std::string_view ForwardedRequest::overdueCause() const
+{
+    const bool isDeadline = bounds_.nextEventDue() == bounds_.deadline();
+    return isDeadline ? "time is up" : "nothing can come before its caller leaves";
+}
+
+/** Nothing comes from the endpoint: the request is sent elsewhere, or ended if that can't be or is of no use. @return false if it is left there. */
+bool ForwardedRequest::leaveUnresponsive(std::string_view cause)
+{
+    if (attempt_ == nullptr || !timingPolicy().isLeftBehind(attemptState())) {
+        return false;
+    }
+    const BootTime now = BootClock::now();
+    const bool isInTime = now < latestDispatch();
+    const bool mayMove = isInTime && isRepeatable() && attempts_.allowsAnother(route_->maxEndpoints);
+    if (mayMove && route_->kind == RouteKind::Stream && !context_.endpoints.hasOpening(service_, now, context_.random)) {
+        return false; // It would only wait behind others elsewhere; looked at again soon.
+    }
+    if (mayMove && moveToOtherEndpoint(cause)) {
+        return true;
+    }
+    // What has begun goes on if the endpoint wakes, and what may not be repeated is of use to its caller only then.
+    if (!endpoint_->isSilent || isStreaming_ || !isRepeatable()) {
+        return false;
+    }
+    endOverdue(isInTime ? "its endpoint is out of reach" : overdueCause());
+    return true;
+}
+
+/** @return false if the retry budget does not allow it. */
+bool ForwardedRequest::moveToOtherEndpoint(std::string_view cause)
+{
+    if (!context_.retryAllowanceOf(service_).tryRetry(BootClock::now())) {
+        return false;
+    }
+    context_.connections.closeAll(endpoint_->record.id);
+    mayHaveRun_ = true;
+    mayRunUnreachably_ = mayRunUnreachably_ || endpoint_->isSilent;
+    context_.metrics.retries.add();
+    hasRetried_ = true;
+    logCancelledAttempt(cause);
+    endAttempt(EndpointSign::Failed);
+    logFailedAttempt(cause, 0, {}, "retry");
+    dispatchNext();
+    return true;
+}
+
+void ForwardedRequest::endOverdue(std::string_view cause)
+{
+    if (attempt_ != nullptr) {
+        // One that others hear from is merely slow, or full.
+        const bool isHeard = route_->kind == RouteKind::Stream && endpoint_->heardAt > sentAt_;
+        const bool isUnheard = !attempt_->hasAnswer() && !isHeard;
+        if (isUnheard) {
+            context_.connections.closeAll(endpoint_->record.id); // It may be silent for good, and its siblings with it.
+        }
+        mayHaveRun_ = mayHaveRun_ || attempt_->hasSent();
+        logCancelledAttempt(cause);
+        endAttempt(isUnheard || attempt_->hasAnswer() ? EndpointSign::Failed : EndpointSign::Refused);
+    }
+    endUnsuccessfully(cause, StatusTimeout);
+}
+
+/**
+ * Ends it with nothing more to try. A stream that has begun can only be cut: whatever else was kept, e.g. an earlier
+ * endpoint's failure, would stand in the middle of it.
+ *
+ * @param failedStatus told if it may have run.
+ */
+void ForwardedRequest::endUnsuccessfully(std::string_view cause, int failedStatus)
+{
+    if (isStreaming_) {
+        abortStream(cause);
+    } else if (fallback_) {
+        relayAnswer(std::move(*fallback_));
+    } else if (mayHaveRun_) {
+        fail(failedStatus, cause);
+    } else {
+        reject(StatusUnavailable, RetryAfterUnavailable, cause);
+    }
+}
+
+void ForwardedRequest::releaseUnbegun()
+{
+    if (std::exchange(isCountedUnbegun_, false)) {
+        --endpoint_->unbegun;
+        slots_->scheduleAdmission();
+    }
+}
+
+void ForwardedRequest::endAttempt(routing::EndpointSign sign)
+{
+    const auto attempt = std::exchange(attempt_, nullptr);
+    if (attempt == nullptr) {
+        return;
+    }
+    attempt->cancel();
+    context_.livenessMonitor.removeRequest(endpoint_->record.id, this);
+    releaseUnbegun();
+    timer_.stop();
+    --endpoint_->inFlight;
+    endpoint_->suspects -= hasCrashReports() ? 1 : 0;
+    slots_->release();
+    spans_.endAttempt(incoming_.head.status, sign);
+    routing::EndpointTable::signSeen(*endpoint_, sign, BootClock::now());
+}
+
+void ForwardedRequest::reject(int status, Duration retryAfter, std::string_view cause)
+{
+    context_.metrics.refusals.add();
+    sendLocalAnswer(status, retryAfter, cause);
+}
+
+void ForwardedRequest::fail(int status, std::string_view cause)
+{
+    context_.metrics.failures.add();
+    sendLocalAnswer(status, std::nullopt, cause);
+}
+
+void ForwardedRequest::sendLocalAnswer(int status, std::optional<Duration> retryAfter, std::string_view cause)
+{
+    const Verdict verdict = mayHaveRun_ ? Verdict::MayHaveRun : Verdict::NotRun;
+    const LocalAnswer answer{.status = status, .retryAfter = retryAfter, .cause = cause, .verdict = verdict, .requestId = requestId_};
+    writer_->sendAnswer(status, headersOf(answer, context_.options.protocol), bodyOf(answer));
+    finish(mayHaveRun_ ? "failed" : "refused", status, cause);
+}
+
+void ForwardedRequest::abortStream(std::string_view cause)
+{
+    context_.metrics.failures.add();
+    writer_->abort();
+    finish("cut", 0, cause);
+}
+
+void ForwardedRequest::onCallerLeft()
+{
+    const auto self = shared_from_this();
+    context_.metrics.hangups.add();
+    logCancelledAttempt("the caller left");
+    endAttempt(EndpointSign::Refused);
+    finish("hung-up", 0, "the caller left");
+}
+
+void ForwardedRequest::finish(std::string_view outcome, int status, std::string_view cause)
+{
+    writer_ = nullptr;
+    waitingFor_ = Waiting::ForNothing;
+    timer_.stop();
+    spans_.end(outcome, status, service_, cause, outcome == "failed" || outcome == "cut");
+    const BootTime now = BootClock::now();
+    context_.metrics.whole.record(now - request_.receivedAt);
+    context_.log.logEnd({.requestId = requestId_,
+                         .route = route_ == nullptr ? std::string_view() : std::string_view(route_->name),
+                         .service = service_,
+                         .organisation = organisation_ == nullptr ? std::string_view() : std::string_view(organisation_->name),
+                         .routesVersion = routes_ == nullptr ? 0 : routes_->version(),
+                         .proofAge = context_.proof.age(now),
+                         .endpoint = attempts_.lastTried(),
+                         .attempts = attempts_.count(),
+                         .status = status,
+                         .outcome = outcome,
+                         .cause = cause,
+                         .took = now - request_.receivedAt,
+                         .firstByte = firstByteAt_ == BootTime() ? BootClock::duration(0) : firstByteAt_ - request_.receivedAt,
+                         .events = eventCount_,
+                         .slotWait = slotWait_,
+                         .longestPause = longestPause_,
+                         .objective = route_ == nullptr ? Duration(0) : route_->latencyObjective,
+                         .pauseObjective = route_ == nullptr ? Duration(0) : route_->pauseObjective,
+                         .fingerprint = fingerprint_});
+}
+
+} // namespace magnolia::forward
--- a/libs/forward/src/forwardmetrics.h
+++ b/libs/forward/src/forwardmetrics.h
@@ -12,16 +12,16 @@
 public:
     explicit ForwardMetrics(observe::Metrics &metrics)
         : requests(metrics.counter("magnolia_forward_requests_total", "Requests received whole."))
-        , sendings(metrics.counter("magnolia_forward_sendings_total", "Requests sent to endpoints, first and repeated."))
+        , attempts(metrics.counter("magnolia_forward_sendings_total", "Requests sent to endpoints, first and repeated."))
         , retries(metrics.counter("magnolia_forward_retries_total", "Sendings beyond the first of a request."))
         , retriesDenied(metrics.counter("magnolia_forward_retries_denied_total", "Retries that the shared budget did not allow."))
         , answers(metrics.counter("magnolia_forward_answers_total", "Endpoints' answers passed on whole."))
         , refusals(metrics.counter("magnolia_forward_refusals_total", "Requests refused as not run."))
-        , withoutPlace(metrics.counter("magnolia_forward_without_place_total", "Streams refused since as many are in progress as stay in time."))
+        , withoutSlot(metrics.counter("magnolia_forward_without_place_total", "Streams refused since as many are in progress as stay in time."))
         , failures(metrics.counter("magnolia_forward_failures_total", "Requests that ended without a whole answer and may have run."))
         , hangups(metrics.counter("magnolia_forward_hangups_total", "Requests whose callers left."))
         , resumed(metrics.counter("magnolia_forward_streams_resumed_total", "Streams that went on at another endpoint."))
-        , endsUnderRequests(metrics.counter("magnolia_forward_ends_under_requests_total", "Requests under which an endpoint ended, each time."))
+        , endpointCrashes(metrics.counter("magnolia_forward_ends_under_requests_total", "Requests under which an endpoint ended, each time."))
         , quarantined(metrics.counter("magnolia_forward_quarantined_total", "Requests refused since endpoints ended under their like."))
         , reportedRequests(metrics.gauge("magnolia_forward_reported_requests", "Requests that endpoints were reported to have ended under."))
         , livenessChecks(metrics.counter("magnolia_forward_liveness_checks_total", "Silent endpoints asked for a sign of life, each time."))
@@ -35,16 +35,16 @@
     }
 
     observe::Counter &requests;
-    observe::Counter &sendings;
+    observe::Counter &attempts;
     observe::Counter &retries;
     observe::Counter &retriesDenied;
     observe::Counter &answers;
     observe::Counter &refusals;
-    observe::Counter &withoutPlace;
+    observe::Counter &withoutSlot;
     observe::Counter &failures;
     observe::Counter &hangups;
     observe::Counter &resumed;
-    observe::Counter &endsUnderRequests;
+    observe::Counter &endpointCrashes;
     observe::Counter &quarantined;
     observe::Gauge &reportedRequests;
     observe::Counter &livenessChecks;
--- a/libs/forward/src/forwardtask.cpp
+++ b/libs/forward/src/forwardtask.cpp
@@ -1,7 +1,7 @@
 #include "forward/forwardtask.h"
 
 #include "callersession.h"
-#include "forwardcore.h"
+#include "forwardcontext.h"
 #include "http/httpserver.h"
 #include "http/timer.h"
 #include "observe/log.h"
@@ -26,16 +26,16 @@
 
 // The balancer asks once a second and takes an instance out after two misses; new connections may come until then, and
 // some more while the news travels. Kept connections that are idle are closed only after that.
-constexpr Duration StopLag{3200};
+constexpr Duration BalancerLag{3200};
 constexpr Duration StopCheckInterval{50};
 
 // Later than this after the order to stop a stream is not begun any more: it would be cut by the end of the process. It is
 // the time that a balancer takes to hear of it, and some; where no instance is ready it goes on sending.
-constexpr Duration StopTakesTime{3000};
+constexpr Duration StopAcceptPeriod{3000};
 constexpr Duration GraceMargin{400}; ///< The process ends by itself so long before it would be killed.
 
 // Without a proof for so long the balancer is asked to send callers elsewhere, in good time before keys are refused.
-constexpr double UnreadyShareOfBound = 0.6;
+constexpr double UnreadyProofShare = 0.6;
 
 std::shared_ptr<spdlog::logger> log()
 {
@@ -54,7 +54,7 @@
 {
 public:
     ForwardTaskImpl(event_base *loop, ForwardOptions options, observe::Metrics &metrics, std::function<void()> onStopped)
-        : core_(loop, std::move(options), metrics), onStopped_(std::move(onStopped)), stopTimer_(loop, [this] { checkStop(); })
+        : context_(loop, std::move(options), metrics), onStopped_(std::move(onStopped)), stopTimer_(loop, [this] { checkStop(); })
     {
     }
     ~ForwardTaskImpl() override;
@@ -67,21 +67,21 @@
     void confirmRoutes(BootTime asOf) override;
     void setInstanceCount(std::size_t instances) override
     {
-        core_.setInstanceCount(instances);
+        context_.setInstanceCount(instances);
     }
     void putEndpoint(const routing::EndpointRecord &record) override;
     void removeEndpoint(std::string_view id) override;
-    void setCrashReportPublisher(CrashReportPublisher sharing) override
+    void setCrashReportPublisher(CrashReportPublisher publisher) override
     {
-        core_.crashes.share(std::move(sharing));
+        context_.crashTracker.setPublisher(std::move(publisher));
     }
     void putCrashReport(const routing::CrashReport &report) override
     {
-        core_.crashes.takeReport(report);
+        context_.crashTracker.addPeerReport(report);
     }
     void withdrawCrashReport(std::string_view fingerprint, std::uint32_t ordinal) override
     {
-        core_.crashes.takeWithdrawal(fingerprint, ordinal);
+        context_.crashTracker.withdrawPeerReport(fingerprint, ordinal);
     }
     void drain() override;
     std::string callersAddress() const override
@@ -94,16 +94,16 @@
     }
 
 private:
-    void accepted(int fd);
+    void startSession(int fd);
     void answerReady(http::Exchange &exchange) const;
     std::string_view notReadyReason() const;
     void checkStop();
     std::size_t busySessions() const;
 
-    ForwardCore core_;
+    ForwardContext context_;
     std::function<void()> onStopped_;
     http::Timer stopTimer_;
-    BootTime stopBegan_;
+    BootTime stoppingSince_;
     std::unique_ptr<evconnlistener, FreeListener> callers_;
     std::unique_ptr<http::HttpServer> ready_;
     std::unordered_map<CallerSession *, std::shared_ptr<CallerSession>> sessions_;
@@ -117,29 +117,30 @@
 Result<void> ForwardTaskImpl::listen()
 {
     auto ready = http::HttpServer::listen(
-        core_.loop, {.address = core_.options.readyAddress}, [this](const std::shared_ptr<http::Exchange> &exchange) { answerReady(*exchange); });
+        context_.loop, {.address = context_.options.readyAddress}, [this](const std::shared_ptr<http::Exchange> &exchange) { answerReady(*exchange); });
     if (!ready) {
         return tl::unexpected(ready.error());
     }
     ready_ = std::move(*ready);
-    const auto address = http::SocketAddress::parse(core_.options.callersAddress);
+    const auto address = http::SocketAddress::parse(context_.options.callersAddress);
     if (!address) {
         return tl::unexpected(address.error());
     }
-    const auto onAccept = [](evconnlistener *, evutil_socket_t fd, sockaddr *, int, void *self) { static_cast<ForwardTaskImpl *>(self)->accepted(fd); };
+    const auto onAccept = [](evconnlistener *, evutil_socket_t fd, sockaddr *, int, void *self) { static_cast<ForwardTaskImpl *>(self)->startSession(fd); };
     const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-    callers_.reset(evconnlistener_new_bind(core_.loop, onAccept, this, flags, Backlog, address->get(), static_cast<int>(address->length)));
+    callers_.reset(evconnlistener_new_bind(context_.loop, onAccept, this, flags, Backlog, address->get(), static_cast<int>(address->length)));
     if (callers_ == nullptr) {
-        return magnolia::fail(ErrorCode::Unavailable, Verdict::NotRun, "can't listen on " + core_.options.callersAddress);
+        return magnolia::fail(ErrorCode::Unavailable, Verdict::NotRun, "can't listen on " + context_.options.callersAddress);
     }
     log()->info("Callers are served on {}, readiness is told on {}", callersAddress(), readyAddress());
     return {};
 }
 
-void ForwardTaskImpl::accepted(int fd)
+void ForwardTaskImpl::startSession(int fd)
 {
     http::tuneSocket(fd);
-    auto session = std::make_shared<CallerSession>(core_, http::Connection::adopt(core_.loop, fd), [this](CallerSession *ended) { sessions_.erase(ended); });
+    auto session =
+        std::make_shared<CallerSession>(context_, http::Connection::adopt(context_.loop, fd), [this](CallerSession *ended) { sessions_.erase(ended); });
     CallerSession *started = session.get();
     sessions_.emplace(started, std::move(session));
     started->start();
@@ -147,7 +148,7 @@
 
 void ForwardTaskImpl::answerReady(http::Exchange &exchange) const
 {
-    if (exchange.path() != core_.options.protocol.healthPath) {
+    if (exchange.path() != context_.options.protocol.healthPath) {
         exchange.reply(StatusNotFound, {}, "");
         return;
     }
@@ -157,17 +158,17 @@
 
 std::string_view ForwardTaskImpl::notReadyReason() const
 {
-    if (core_.isStopping) {
+    if (context_.isStopping) {
         return "stopping";
     }
-    if (core_.routes == nullptr) {
+    if (context_.routes == nullptr) {
         return "no routes are known yet";
     }
-    if (core_.endpoints.size() == 0) {
+    if (context_.endpoints.size() == 0) {
         return "no endpoint is known yet";
     }
-    const auto bound = std::chrono::duration_cast<BootClock::duration>(core_.options.proof.bound * UnreadyShareOfBound);
-    if (core_.options.proof.bound.count() > 0 && core_.proof.age(BootClock::now()) > bound) {
+    const auto bound = std::chrono::duration_cast<BootClock::duration>(context_.options.proof.bound * UnreadyProofShare);
+    if (context_.options.proof.bound.count() > 0 && context_.proof.age(BootClock::now()) > bound) {
         return "it is not proved that the known routes are the newest";
     }
     return {};
@@ -175,34 +176,34 @@
 
 void ForwardTaskImpl::putRoutes(routing::RouteTable::Pointer table)
 {
-    if (core_.routes != nullptr && table->version() <= core_.routes->version()) {
+    if (context_.routes != nullptr && table->version() <= context_.routes->version()) {
         return;
     }
-    core_.routes = std::move(table);
-    core_.metrics.routesVersion.set(static_cast<double>(core_.routes->version()));
+    context_.routes = std::move(table);
+    context_.metrics.routesVersion.set(static_cast<double>(context_.routes->version()));
     log()->info("Routes in force version={} routes={} services={} organisations={}",
-                core_.routes->version(),
-                core_.routes->config().routes.size(),
-                core_.routes->config().services.size(),
-                core_.routes->config().organisations.size());
-    core_.tellNews();
+                context_.routes->version(),
+                context_.routes->config().routes.size(),
+                context_.routes->config().services.size(),
+                context_.routes->config().organisations.size());
+    context_.notifyWaiters();
 }
 
 void ForwardTaskImpl::confirmRoutes(BootTime asOf)
 {
-    core_.proof.confirmed(asOf);
-    core_.tellNews();
+    context_.proof.confirmed(asOf);
+    context_.notifyWaiters();
 }
 
 void ForwardTaskImpl::putEndpoint(const routing::EndpointRecord &record)
 {
-    const routing::EndpointPointer known = core_.endpoints.find(record.id);
+    const routing::EndpointPointer known = context_.endpoints.find(record.id);
     const bool wasLeaving = known != nullptr && known->record.isLeaving;
-    core_.endpoints.put(record);
-    const routing::EndpointPointer current = core_.endpoints.find(record.id);
+    context_.endpoints.put(record);
+    const routing::EndpointPointer current = context_.endpoints.find(record.id);
     const bool isOtherRun = known != nullptr && current != known;
-    const bool isNews = known == nullptr || isOtherRun || wasLeaving != current->record.isLeaving;
-    if (isNews) {
+    const bool hasChanged = known == nullptr || isOtherRun || wasLeaving != current->record.isLeaving;
+    if (hasChanged) {
         log()->info("Endpoint known id={} service={} address={} data_centre={} leaving={} incarnation={}",
                     record.id,
                     record.service,
@@ -212,33 +213,33 @@
                     record.incarnation);
     }
     if (isOtherRun || current->record.isLeaving) {
-        core_.connections.closeAll(record.id); // They lead to a run that has ended, or soon will.
+        context_.connections.closeAll(record.id); // They lead to a run that has ended, or soon will.
     }
-    if (isNews && !current->record.isLeaving) {
-        core_.tellNews();
+    if (hasChanged && !current->record.isLeaving) {
+        context_.notifyWaiters();
     }
 }
 
 void ForwardTaskImpl::removeEndpoint(std::string_view id)
 {
-    if (core_.endpoints.find(id) == nullptr) {
+    if (context_.endpoints.find(id) == nullptr) {
         return;
     }
     log()->info("Endpoint gone id={}", id);
-    core_.endpoints.remove(id);
-    core_.connections.closeAll(id);
+    context_.endpoints.remove(id);
+    context_.connections.closeAll(id);
 }
 
 void ForwardTaskImpl::drain()
 {
-    if (std::exchange(core_.isStopping, true)) {
+    if (std::exchange(context_.isStopping, true)) {
         return;
     }
-    stopBegan_ = BootClock::now();
-    core_.takesUntil = stopBegan_ + StopTakesTime;
-    core_.endsAt = stopBegan_ + core_.options.gracePeriod - GraceMargin;
-    log()->info("Stopping in_progress={} connections={} grace_ms={}", busySessions(), sessions_.size(), core_.options.gracePeriod.count());
-    stopTimer_.start(StopLag);
+    stoppingSince_ = BootClock::now();
+    context_.acceptsUntil = stoppingSince_ + StopAcceptPeriod;
+    context_.exitsAt = stoppingSince_ + context_.options.gracePeriod - GraceMargin;
+    log()->info("Stopping in_progress={} connections={} grace_ms={}", busySessions(), sessions_.size(), context_.options.gracePeriod.count());
+    stopTimer_.start(BalancerLag);
 }
 
 std::size_t ForwardTaskImpl::busySessions() const
@@ -259,7 +260,7 @@
     for (CallerSession *session : open) {
         session->closeIfIdle();
     }
-    const bool isOver = BootClock::now() - stopBegan_ >= core_.options.gracePeriod - GraceMargin;
+    const bool isOver = BootClock::now() - stoppingSince_ >= context_.options.gracePeriod - GraceMargin;
     if (!sessions_.empty() && !isOver) {
         stopTimer_.start(StopCheckInterval);
         return;
--- /dev/null
+++ b/libs/forward/src/livenessmonitor.cpp
@@ -0,0 +1,204 @@
+#include "livenessmonitor.h"
+
+#include "observe/log.h"
+
+#include <utility>
+#include <vector>
+
+namespace magnolia::forward
+{
+
+namespace
+{
+
+// After which an endpoint is asked for a sign of life while its peers speak, and while all are silent.
+constexpr Duration SilenceWhilePeersAnswer{300};
+constexpr Duration SilenceOfWholeService{1000};
+
+constexpr Duration CheckTimeout{250};
+constexpr Duration CheckInterval{1000}; ///< Between two checks of an endpoint that answered.
+constexpr Duration RecheckInterval{500}; ///< Of one that is silent.
+constexpr Duration TimerInterval{50};
+
+// A process that was held up itself can't tell who is late.
+constexpr Duration MaxOwnDelay{150};
+
+std::shared_ptr<spdlog::logger> log()
+{
+    static const auto instance = observe::logger("endpoints");
+    return instance;
+}
+
+std::int64_t milliseconds(BootClock::duration duration)
+{
+    return std::chrono::duration_cast<Duration>(duration).count();
+}
+
+} // namespace
+
+LivenessMonitor::LivenessMonitor(event_base *loop, const routing::EndpointTable &endpoints, ForwardMetrics &metrics, std::string path)
+    : loop_(loop), endpoints_(endpoints), metrics_(metrics), path_(std::move(path)), timer_(loop, [this] { checkAll(); })
+{
+}
+
+void LivenessMonitor::addRequest(const routing::EndpointPointer &endpoint, const void *request, std::function<void()> onUnresponsive)
+{
+    if (!isEnabled()) {
+        return;
+    }
+    if (monitored_.empty()) {
+        lastTimerAt_ = BootClock::now();
+        timer_.start(TimerInterval);
+    }
+    Monitored &monitored = monitored_[endpoint->record.id];
+    if (monitored.endpoint != endpoint) {
+        (void)clearMarks(monitored);
+        monitored = {.endpoint = endpoint, .callbacks = {}, .client = nullptr, .checkedAt = {}};
+    }
+    monitored.callbacks[request] = std::move(onUnresponsive);
+}
+
+void LivenessMonitor::removeRequest(std::string_view endpoint, const void *request)
+{
+    const auto found = monitored_.find(endpoint);
+    if (found != monitored_.end()) {
+        found->second.callbacks.erase(request);
+    }
+}
+
+void LivenessMonitor::checkAll()
+{
+    const BootTime now = BootClock::now();
+    detectOwnDelay(now);
+    std::erase_if(monitored_, [this](auto &entry) {
+        const bool isOver = isIdle(entry.second);
+        if (isOver) {
+            (void)clearMarks(entry.second);
+        }
+        return isOver;
+    });
+    for (auto &[id, monitored] : monitored_) {
+        if (monitored.endpoint->isSilent && monitored.endpoint->heardAt > monitored.checkedAt) {
+            markResponsive(monitored, now);
+        }
+        if (isCheckDue(monitored, now)) {
+            startCheck(monitored, now);
+        }
+    }
+    if (!monitored_.empty()) {
+        timer_.start(TimerInterval);
+    }
+}
+
+void LivenessMonitor::detectOwnDelay(BootTime now)
+{
+    if (now - lastTimerAt_ > MaxOwnDelay) {
+        lastDelayAt_ = now;
+    }
+    lastTimerAt_ = now;
+}
+
+/** @return true if it was marked. */
+bool LivenessMonitor::clearMarks(const Monitored &monitored)
+{
+    if (monitored.endpoint == nullptr) {
+        return false;
+    }
+    monitored.endpoint->isInDoubt = false;
+    const bool wasSilent = std::exchange(monitored.endpoint->isSilent, false);
+    if (wasSilent) {
+        metrics_.silentEndpoints.add(-1);
+    }
+    return wasSilent;
+}
+
+bool LivenessMonitor::isIdle(const Monitored &monitored) const
+{
+    const bool isWanted = !monitored.callbacks.empty() || (monitored.endpoint->isSilent && monitored.endpoint->takesWork());
+    return !isWanted;
+}
+
+bool LivenessMonitor::isCheckDue(const Monitored &monitored, BootTime now) const
+{
+    const routing::Endpoint &endpoint = *monitored.endpoint;
+    if (endpoint.isInDoubt) {
+        return false; // It is being asked.
+    }
+    if (endpoint.isSilent) {
+        return now - monitored.checkedAt >= RecheckInterval;
+    }
+    if (endpoint.limit.isStated()) {
+        return false; // A check would count against it.
+    }
+    const Duration patience = endpoints_.isPassedOver(endpoint) ? SilenceWhilePeersAnswer : SilenceOfWholeService;
+    return now - endpoint.silentSince() >= patience && now - monitored.checkedAt >= CheckInterval;
+}
+
+void LivenessMonitor::startCheck(Monitored &monitored, BootTime now)
+{
+    const std::string &id = monitored.endpoint->record.id;
+    monitored.checkedAt = now;
+    monitored.endpoint->isInDoubt = true;
+    metrics_.livenessChecks.add();
+    if (monitored.client == nullptr) {
+        monitored.client =
+            std::make_unique<http::HttpClient>(loop_, http::HttpClient::Options{.address = monitored.endpoint->record.address, .maxConnections = 1});
+    }
+    monitored.client->send({.path = path_, .timeout = CheckTimeout}, [this, id](const Result<http::Response> &answer) { onCheckEnd(id, answer); });
+}
+
+void LivenessMonitor::onCheckEnd(const std::string &id, const Result<http::Response> &answer)
+{
+    const auto found = monitored_.find(id);
+    if (found == monitored_.end()) {
+        return;
+    }
+    Monitored &monitored = found->second;
+    const BootTime now = BootClock::now();
+    detectOwnDelay(now);
+    monitored.endpoint->isInDoubt = false;
+    // One that refuses the connection or closes it is within reach; its requests learn of its end by themselves.
+    const bool isLate = !answer && answer.error().code == ErrorCode::DeadlineExceeded;
+    if (!isLate) {
+        markResponsive(monitored, now);
+        return;
+    }
+    if (lastDelayAt_ < monitored.checkedAt) {
+        markUnresponsive(monitored, now);
+    }
+}
+
+void LivenessMonitor::markUnresponsive(Monitored &monitored, BootTime now)
+{
+    routing::Endpoint &endpoint = *monitored.endpoint;
+    if (!std::exchange(endpoint.isSilent, true)) {
+        metrics_.silentEndpoints.add(1);
+        log()->warn("Endpoint does not answer id={} address={} silent_ms={} service_silent_ms={} in_progress={}",
+                    endpoint.record.id,
+                    endpoint.record.address,
+                    milliseconds(now - endpoint.silentSince()),
+                    milliseconds(now - endpoints_.serviceHeardAt(endpoint.record.service)),
+                    endpoint.inFlight);
+    }
+    std::vector<std::function<void()>> callbacks;
+    for (const auto &[request, onUnresponsive] : monitored.callbacks) {
+        callbacks.push_back(onUnresponsive);
+    }
+    for (const auto &onUnresponsive : callbacks) {
+        onUnresponsive();
+    }
+}
+
+void LivenessMonitor::markResponsive(Monitored &monitored, BootTime now)
+{
+    if (!clearMarks(monitored)) {
+        return;
+    }
+    routing::Endpoint &endpoint = *monitored.endpoint;
+    endpoint.failures = 0;
+    endpoint.avoidUntil = {};
+    log()->info(
+        "Endpoint answers again id={} address={} silent_ms={}", endpoint.record.id, endpoint.record.address, milliseconds(now - endpoint.silentSince()));
+}
+
+} // namespace magnolia::forward
--- a/libs/forward/src/silencewatch.h
+++ b/libs/forward/src/livenessmonitor.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_SILENCEWATCH_H
-#define MAGNOLIA_FORWARD_SILENCEWATCH_H
+#ifndef MAGNOLIA_FORWARD_LIVENESSMONITOR_H
+#define MAGNOLIA_FORWARD_LIVENESSMONITOR_H
 
 #include "forwardmetrics.h"
 #include "http/httpclient.h"
@@ -27,13 +27,13 @@
  * watch.ended(endpoint->record.id, this);
  * @endcode
  */
-class SilenceWatch
+class LivenessMonitor
 {
 public:
     /** @param path that endpoints answer whatever they run; any answer counts; empty: nothing is checked. Table and metrics outlive this. */
-    SilenceWatch(event_base *loop, const routing::EndpointTable &endpoints, ForwardMetrics &metrics, std::string path);
-    SilenceWatch(const SilenceWatch &) = delete;
-    SilenceWatch &operator=(const SilenceWatch &) = delete;
+    LivenessMonitor(event_base *loop, const routing::EndpointTable &endpoints, ForwardMetrics &metrics, std::string path);
+    LivenessMonitor(const LivenessMonitor &) = delete;
+    LivenessMonitor &operator=(const LivenessMonitor &) = delete;
 
     bool isEnabled() const
     {
@@ -41,34 +41,34 @@
     }
 
     /** @param silent called each time the endpoint was found silent, never from within, until ended() with the same owner. */
-    void began(const routing::EndpointPointer &endpoint, const void *owner, std::function<void()> silent);
-    void ended(std::string_view endpoint, const void *owner);
+    void addRequest(const routing::EndpointPointer &endpoint, const void *request, std::function<void()> onUnresponsive);
+    void removeRequest(std::string_view endpoint, const void *request);
 
 private:
-    struct Watched {
+    struct Monitored {
         routing::EndpointPointer endpoint;
-        std::unordered_map<const void *, std::function<void()>> owners; ///< Of the requests in progress there.
+        std::unordered_map<const void *, std::function<void()>> callbacks; ///< Of the requests in progress there.
         std::unique_ptr<http::HttpClient> client; ///< Null until the first check.
         BootTime checkedAt;
     };
 
-    void tick();
-    void noteDelay(BootTime now);
-    bool unmark(const Watched &watched);
-    bool isIdle(const Watched &watched) const;
-    bool isDue(const Watched &watched, BootTime now) const;
-    void check(Watched &watched, BootTime now);
-    void checked(const std::string &id, const Result<http::Response> &answer);
-    void foundSilent(Watched &watched, BootTime now);
-    void foundAnswering(Watched &watched, BootTime now);
+    void checkAll();
+    void detectOwnDelay(BootTime now);
+    bool clearMarks(const Monitored &monitored);
+    bool isIdle(const Monitored &monitored) const;
+    bool isCheckDue(const Monitored &monitored, BootTime now) const;
+    void startCheck(Monitored &monitored, BootTime now);
+    void onCheckEnd(const std::string &id, const Result<http::Response> &answer);
+    void markUnresponsive(Monitored &monitored, BootTime now);
+    void markResponsive(Monitored &monitored, BootTime now);
 
     event_base *loop_;
     const routing::EndpointTable &endpoints_;
     ForwardMetrics &metrics_;
     std::string path_;
-    routing::TextMap<Watched> watched_; ///< By the endpoint's id.
-    BootTime tickedAt_;
-    BootTime delayedAt_; ///< When this process last found itself late.
+    routing::TextMap<Monitored> monitored_; ///< By the endpoint's id.
+    BootTime lastTimerAt_;
+    BootTime lastDelayAt_; ///< When this process last found itself late.
     http::Timer timer_;
 };
 
--- a/libs/forward/src/ownanswer.cpp
+++ b/libs/forward/src/localanswer.cpp
@@ -1,4 +1,4 @@
-#include "ownanswer.h"
+#include "localanswer.h"
 
 #include "base/errorcode.h"
 #include "base/failure.h"
@@ -32,7 +32,7 @@
 
 } // namespace
 
-http::HeaderList headersOf(const OwnAnswer &answer, const Protocol &protocol)
+http::HeaderList headersOf(const LocalAnswer &answer, const Protocol &protocol)
 {
     http::HeaderList headers;
     if (!answer.requestId.empty()) {
@@ -45,7 +45,7 @@
     return headers;
 }
 
-std::string bodyOf(const OwnAnswer &answer)
+std::string bodyOf(const LocalAnswer &answer)
 {
     const Failure failure{.code = codeOf(answer.status), .verdict = answer.verdict, .detail = std::string(answer.cause), .retryAfter = answer.retryAfter};
     return http::errorBody(failure, answer.requestId);
--- a/libs/forward/src/ownanswer.h
+++ b/libs/forward/src/localanswer.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_OWNANSWER_H
-#define MAGNOLIA_FORWARD_OWNANSWER_H
+#ifndef MAGNOLIA_FORWARD_LOCALANSWER_H
+#define MAGNOLIA_FORWARD_LOCALANSWER_H
 
 #include "base/clock.h"
 #include "base/verdict.h"
@@ -14,7 +14,7 @@
 {
 
 /** What this entry itself tells a caller, in place of an endpoint's answer. */
-struct OwnAnswer {
+struct LocalAnswer {
     int status = 0;
     std::optional<Duration> retryAfter{};
     std::string_view cause{};
@@ -22,8 +22,8 @@
     std::string_view requestId{}; ///< Empty if the request has none.
 };
 
-http::HeaderList headersOf(const OwnAnswer &answer, const Protocol &protocol);
-std::string bodyOf(const OwnAnswer &answer);
+http::HeaderList headersOf(const LocalAnswer &answer, const Protocol &protocol);
+std::string bodyOf(const LocalAnswer &answer);
 
 } // namespace magnolia::forward
 
--- a/libs/forward/src/outgoingrequest.h
+++ b/libs/forward/src/outgoingrequest.h
@@ -1,7 +1,7 @@
 #ifndef MAGNOLIA_FORWARD_OUTGOINGREQUEST_H
 #define MAGNOLIA_FORWARD_OUTGOINGREQUEST_H
 
-#include "answersink.h"
+#include "answerwriter.h"
 #include "base/clock.h"
 #include "forward/protocol.h"
 #include "routing/routingconfig.h"
--- a/libs/forward/src/requestlog.cpp
+++ b/libs/forward/src/requestlog.cpp
@@ -24,9 +24,9 @@
 
 } // namespace
 
-void RequestLog::write(const RequestRecord &record)
+void RequestLog::logEnd(const RequestRecord &record)
 {
-    if (!mayWrite()) {
+    if (!reserveLine()) {
         return;
     }
     log()->info(
@@ -41,11 +41,11 @@
         record.service,
         record.organisation,
         record.endpoint,
-        record.sendings,
+        record.attempts,
         milliseconds(record.took),
         milliseconds(record.firstByte),
         record.events,
-        milliseconds(record.waited),
+        milliseconds(record.slotWait),
         milliseconds(record.longestPause),
         record.objective.count(),
         record.pauseObjective.count(),
@@ -53,9 +53,9 @@
         milliseconds(record.proofAge));
 }
 
-void RequestLog::sendingEnded(const SendingRecord &record)
+void RequestLog::logFailedAttempt(const FailedAttemptRecord &record)
 {
-    if (!mayWrite()) {
+    if (!reserveLine()) {
         return;
     }
     log()->info("Sending failed id={} fingerprint={} endpoint={} end={} status={} at_fault={} decision={} took_ms={} alongside={}",
@@ -67,12 +67,12 @@
                 record.atFault,
                 record.decision,
                 milliseconds(record.took),
-                record.alongside);
+                record.inProgressThere);
 }
 
-void RequestLog::sendingCancelled(const CancelRecord &record)
+void RequestLog::logCancelledAttempt(const CancelledAttemptRecord &record)
 {
-    if (!mayWrite()) {
+    if (!reserveLine()) {
         return;
     }
     log()->info("Sending cancelled id={} endpoint={} cause={} connected={} answering={} took_ms={} stays_ms={} ahead={} silent_when_sent_ms={} silent_ms={} "
@@ -83,18 +83,18 @@
                 record.isConnected,
                 record.isAnswering,
                 milliseconds(record.took),
-                milliseconds(record.stays),
-                record.ahead,
+                milliseconds(record.callerStays),
+                record.unbegunAhead,
                 milliseconds(record.silenceWhenSent),
                 milliseconds(record.silence),
                 milliseconds(record.endpointSilence),
                 milliseconds(record.serviceSilence),
-                record.alongside);
+                record.inProgressThere);
 }
 
-void RequestLog::limitStated(std::string_view endpoint, std::optional<double> perSecond)
+void RequestLog::logRateLimit(std::string_view endpoint, std::optional<double> perSecond)
 {
-    if (!mayWrite()) {
+    if (!reserveLine()) {
         return;
     }
     if (perSecond) {
@@ -104,37 +104,37 @@
     }
 }
 
-void RequestLog::limitUnreadable(std::string_view endpoint, std::string_view text)
+void RequestLog::logInvalidRateLimit(std::string_view endpoint, std::string_view text)
 {
-    if (mayWrite()) {
+    if (reserveLine()) {
         log()->warn("Limit can't be read id={} text={}", endpoint, text);
     }
 }
 
-void RequestLog::limited(std::string_view service, BootClock::duration pause, std::size_t inProgress, double limit)
+void RequestLog::logStreamLimit(std::string_view service, BootClock::duration pause, std::size_t inProgress, double limit)
 {
-    if (!mayWrite()) {
+    if (!reserveLine()) {
         return;
     }
     log()->info("Streams limited service={} pause_ms={} in_progress={} limit={:.1f}", service, milliseconds(pause), inProgress, limit);
 }
 
-bool RequestLog::mayWrite()
+bool RequestLog::reserveLine()
 {
     const BootTime now = BootClock::now();
-    if (now - second_ >= std::chrono::seconds(1)) {
-        if (leftOut_ > 0) {
-            log()->info("Lines left out={} in the time since the last", leftOut_);
+    if (now - secondSince_ >= std::chrono::seconds(1)) {
+        if (omitted_ > 0) {
+            log()->info("Lines left out={} in the time since the last", omitted_);
         }
-        second_ = now;
-        written_ = 0;
-        leftOut_ = 0;
+        secondSince_ = now;
+        linesWritten_ = 0;
+        omitted_ = 0;
     }
-    if (written_ >= LinesPerSecond) {
-        ++leftOut_;
+    if (linesWritten_ >= LinesPerSecond) {
+        ++omitted_;
         return false;
     }
-    ++written_;
+    ++linesWritten_;
     return true;
 }
 
--- a/libs/forward/src/requestlog.h
+++ b/libs/forward/src/requestlog.h
@@ -21,14 +21,14 @@
     std::uint64_t routesVersion = 0;
     BootClock::duration proofAge{}; ///< Of the proof that those routes were the newest.
     std::string_view endpoint{}; ///< The last one tried.
-    std::uint32_t sendings = 0; ///< To endpoints.
+    std::uint32_t attempts = 0; ///< To endpoints.
     int status = 0; ///< Told to the caller; 0: none, the connection was closed.
     std::string_view outcome{}; ///< One of few words.
     std::string_view cause{}; ///< Of an outcome other than an endpoint's answer passed on.
     BootClock::duration took{};
     BootClock::duration firstByte{}; ///< From the request to its answer's first byte; 0: none.
     std::uint64_t events = 0; ///< Of a stream.
-    BootClock::duration waited{}; ///< For a place among the streams in progress.
+    BootClock::duration slotWait{}; ///< For a place among the streams in progress.
     BootClock::duration longestPause{}; ///< Between two events of a stream.
     Duration objective{}; ///< For the first byte; 0: none.
     Duration pauseObjective{}; ///< For pauses; 0: none.
@@ -36,7 +36,7 @@
 };
 
 /** One sending that did not end with an answer passed on. */
-struct SendingRecord {
+struct FailedAttemptRecord {
     std::string_view requestId{};
     std::string_view fingerprint{};
     std::string_view endpoint{};
@@ -45,24 +45,24 @@
     std::string_view atFault{};
     std::string_view decision{}; ///< What is done with the request.
     BootClock::duration took{}; ///< From its sending to its end.
-    std::uint32_t alongside = 0; ///< Other requests of this instance in progress at that endpoint.
+    std::uint32_t inProgressThere = 0; ///< Other requests of this instance in progress at that endpoint.
 };
 
 /** One sending that was given up while it was in progress. */
-struct CancelRecord {
+struct CancelledAttemptRecord {
     std::string_view requestId{};
     std::string_view endpoint{};
     std::string_view cause{};
     bool isConnected = false;
     bool isAnswering = false; ///< The head of an answer has come.
     BootClock::duration took{}; ///< Since it was sent.
-    BootClock::duration stays{}; ///< For which the caller was still expected to stay; less than 0: it should have left.
-    std::uint32_t ahead = 0; ///< Unbegun requests of this instance there when it was sent.
+    BootClock::duration callerStays{}; ///< For which the caller was still expected to stay; less than 0: it should have left.
+    std::uint32_t unbegunAhead = 0; ///< Unbegun requests of this instance there when it was sent.
     BootClock::duration silenceWhenSent{}; ///< Of the endpoint when it was sent.
     BootClock::duration silence{}; ///< Since something last came for this request.
     BootClock::duration endpointSilence{}; ///< Since something last came from the endpoint for any request of this instance.
     BootClock::duration serviceSilence{}; ///< The same of all endpoints of its service.
-    std::uint32_t alongside = 0; ///< Requests of this instance in progress at that endpoint, this one included.
+    std::uint32_t inProgressThere = 0; ///< Requests of this instance in progress at that endpoint, this one included.
 };
 
 /**
@@ -74,25 +74,25 @@
 class RequestLog
 {
 public:
-    void write(const RequestRecord &record);
+    void logEnd(const RequestRecord &record);
 
-    void sendingEnded(const SendingRecord &record);
+    void logFailedAttempt(const FailedAttemptRecord &record);
 
-    void sendingCancelled(const CancelRecord &record);
+    void logCancelledAttempt(const CancelledAttemptRecord &record);
 
     /** @param perSecond from now on; nothing: it states no limit any more. */
-    void limitStated(std::string_view endpoint, std::optional<double> perSecond);
-    void limitUnreadable(std::string_view endpoint, std::string_view text);
+    void logRateLimit(std::string_view endpoint, std::optional<double> perSecond);
+    void logInvalidRateLimit(std::string_view endpoint, std::string_view text);
 
     /** Fewer streams of a service are let in from now on. */
-    void limited(std::string_view service, BootClock::duration pause, std::size_t inProgress, double limit);
+    void logStreamLimit(std::string_view service, BootClock::duration pause, std::size_t inProgress, double limit);
 
 private:
-    bool mayWrite();
+    bool reserveLine();
 
-    BootTime second_;
-    std::uint32_t written_ = 0; ///< In this second.
-    std::uint64_t leftOut_ = 0;
+    BootTime secondSince_;
+    std::uint32_t linesWritten_ = 0; ///< In this second.
+    std::uint64_t omitted_ = 0;
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/requestspans.h
+++ b/libs/forward/src/requestspans.h
@@ -31,39 +31,39 @@
     void begin(std::string_view traceparent, std::string_view requestId)
     {
         if (tracer_ != nullptr) {
-            request_ = tracer_->start("forward.request", observe::TraceContext::parse(traceparent), observe::SpanKind::Server);
-            request_.set("request.id", requestId);
+            requestSpan_ = tracer_->start("forward.request", observe::TraceContext::parse(traceparent), observe::SpanKind::Server);
+            requestSpan_.set("request.id", requestId);
         }
     }
 
-    void beginSending(std::string_view endpoint)
+    void beginAttempt(std::string_view endpoint)
     {
         if (tracer_ != nullptr) {
-            sending_ = tracer_->start("forward.sending", request_.context(), observe::SpanKind::Client);
-            sending_.set("endpoint", endpoint);
+            attemptSpan_ = tracer_->start("forward.sending", requestSpan_.context(), observe::SpanKind::Client);
+            attemptSpan_.set("endpoint", endpoint);
         }
     }
 
     /** @return the header's value for the endpoint; empty without a tracer. */
-    std::string traceparentOfSending() const
+    std::string attemptTraceparent() const
     {
-        return sending_.traceparent();
+        return attemptSpan_.traceparent();
     }
 
-    void endSending(int status, routing::EndpointSign sign)
+    void endAttempt(int status, routing::EndpointSign sign)
     {
-        finish(sending_, status, failureOf(sign));
+        finish(attemptSpan_, status, failureOf(sign));
     }
 
     /** @param isFailed the caller got no whole answer, and the request may have run. */
     void end(std::string_view outcome, int status, std::string_view service, std::string_view cause, bool isFailed)
     {
-        request_.set("outcome", outcome);
-        request_.set("service", service);
+        requestSpan_.set("outcome", outcome);
+        requestSpan_.set("service", service);
         if (!cause.empty()) {
-            request_.set("cause", cause);
+            requestSpan_.set("cause", cause);
         }
-        finish(request_, status, isFailed ? outcome : std::string_view());
+        finish(requestSpan_, status, isFailed ? outcome : std::string_view());
     }
 
 private:
@@ -87,8 +87,8 @@
     }
 
     observe::Tracer *tracer_;
-    observe::Span request_;
-    observe::Span sending_;
+    observe::Span requestSpan_;
+    observe::Span attemptSpan_;
 };
 
 } // namespace magnolia::forward
--- a/libs/forward/src/placequeue.h
+++ b/libs/forward/src/slotqueue.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_PLACEQUEUE_H
-#define MAGNOLIA_FORWARD_PLACEQUEUE_H
+#ifndef MAGNOLIA_FORWARD_SLOTQUEUE_H
+#define MAGNOLIA_FORWARD_SLOTQUEUE_H
 
 #include "base/clock.h"
 #include "http/timer.h"
@@ -24,41 +24,41 @@
  * if (!queue.hasRoom(now)) { queue.wait(priority, now, [waiting = weak_from_this()] { ... }); }
  * @endcode
  */
-class PlaceQueue
+class SlotQueue
 {
 public:
-    using Wake = std::function<void()>; ///< Called when there is room; one that does not want it any more does nothing.
+    using Callback = std::function<void()>; ///< Called when there is room; one that does not want it any more does nothing.
 
     /** @param hasOpening whether an endpoint can be sent one more. */
-    PlaceQueue(event_base *loop, std::function<bool()> hasOpening) : timer_(loop, [this] { wake(); }), hasOpening_(std::move(hasOpening)) {}
+    SlotQueue(event_base *loop, std::function<bool()> hasOpening) : timer_(loop, [this] { admitWaiting(); }), hasOpening_(std::move(hasOpening)) {}
 
     /** For one that has not waited: there is a place, and nobody waits for it. */
-    bool hasRoom(BootTime now) const
+    bool hasFreeSlot(BootTime now) const
     {
         return waiting_.empty() && limit_.hasRoom(inProgress_, now) && hasOpening_();
     }
 
-    void wait(routing::Priority priority, BootTime since, Wake wake)
+    void enqueue(routing::Priority priority, BootTime since, Callback onSlot)
     {
         if (waiting_.empty()) {
-            timer_.start(LookInterval); // The limit grows by itself.
+            timer_.start(RecheckInterval); // The limit grows by itself.
         }
-        waiting_.emplace(since + priority * PriorityTime, std::move(wake));
+        waiting_.emplace(since + priority * TimePerPriority, std::move(onSlot));
     }
 
-    void began()
+    void reserve()
     {
         ++inProgress_;
     }
 
-    void ended()
+    void release()
     {
         --inProgress_;
-        opened();
+        scheduleAdmission();
     }
 
     /** An endpoint may be sent one more. */
-    void opened()
+    void scheduleAdmission()
     {
         if (!waiting_.empty()) {
             timer_.start(Duration(0)); // Not from within a call of its owner.
@@ -77,25 +77,25 @@
 
 private:
     // A level of urgency goes before whatever came so much later; callers wait some tenths of a second in all.
-    static constexpr Duration PriorityTime{20};
-    static constexpr Duration LookInterval{20};
+    static constexpr Duration TimePerPriority{20};
+    static constexpr Duration RecheckInterval{20};
 
-    void wake()
+    void admitWaiting()
     {
         while (!waiting_.empty() && limit_.hasRoom(inProgress_, BootClock::now()) && hasOpening_()) {
-            const Wake first = std::move(waiting_.begin()->second);
+            const Callback next = std::move(waiting_.begin()->second);
             waiting_.erase(waiting_.begin());
-            first();
+            next();
         }
         if (!waiting_.empty()) {
-            timer_.start(LookInterval);
+            timer_.start(RecheckInterval);
         }
     }
 
     http::Timer timer_;
     std::function<bool()> hasOpening_;
     routing::ConcurrencyLimit limit_{{}};
-    std::multimap<BootTime, Wake> waiting_; ///< By the time from which on it counts as waiting.
+    std::multimap<BootTime, Callback> waiting_; ///< By the time from which on it counts as waiting.
     std::size_t inProgress_ = 0;
 };
 
