--- a/libs/forward/src/admission.cpp
+++ b/libs/forward/src/admission.cpp
@@ -19,7 +19,7 @@
 constexpr Duration RetryAfterNoRoutes{800};
 constexpr Duration RetryAfterNoProof{1000};
 
-// Of what a caller states; more can't be reckoned with.
+// Upper bound for the timeout that a caller states, to keep time arithmetic in range.
 constexpr Duration MaxStatedTimeout = std::chrono::hours(24);
 
 std::string_view pathOf(std::string_view target)
--- a/libs/forward/src/admission.h
+++ b/libs/forward/src/admission.h
@@ -16,24 +16,24 @@
 namespace magnolia::forward
 {
 
-/** Where a request may go, and in whose name. */
+/** The route of an admitted request, and the organisation that sent it. */
 struct AdmittedRequest {
     const routing::Route *route = nullptr;
-    const routing::Organisation *organisation = nullptr; ///< Null if it needs no key.
+    const routing::Organisation *organisation = nullptr; ///< Null if the route needs no key.
     std::string fingerprint{};
 };
 
-/** Why a request may go nowhere. */
+/** Why a request was not admitted. */
 struct Rejection {
     int status = 0;
-    std::optional<Duration> retryAfter{}; ///< Only where a newer version of the routes, or a proof, could admit it.
+    std::optional<Duration> retryAfter{}; ///< Set only if newer routes or a proof of freshness could admit the request.
     std::string_view cause{};
-    const routing::Route *route = nullptr; ///< Null if none leads there.
+    const routing::Route *route = nullptr; ///< Null if no route matches.
 };
 
-/** What admission is decided on. */
+/** Input of the admission decision. */
 struct AdmissionInput {
-    const routing::RouteTable *routes = nullptr; ///< Null until a version is known. Outlives the outcome.
+    const routing::RouteTable *routes = nullptr; ///< Null until a version is known. Outlives the result, which points into it.
     const routing::RoutingProof *proof = nullptr;
     const Protocol *protocol = nullptr;
     const CallerRequest *request = nullptr;
@@ -41,12 +41,12 @@
 };
 
 /**
- * Finds a request's route and organisation. Without a fresh proof that the known routes are the newest neither an unknown
- * path nor any key is judged.
+ * Finds the route and organisation of a request. Without a fresh proof that the known routes are the newest, a request
+ * with an unmatched path or on a route that needs a key is rejected as temporarily unavailable.
  */
 tl::expected<AdmittedRequest, Rejection> admitRequest(const AdmissionInput &input);
 
-/** @return until when an answer finds the caller, as far as the request itself states. */
+/** @return how long the caller waits for an answer, as stated by the request itself. */
 routing::CallerBounds callerBoundsOf(const CallerRequest &request, const Protocol &protocol);
 
 } // namespace magnolia::forward
--- a/libs/forward/src/answerwriter.h
+++ b/libs/forward/src/answerwriter.h
@@ -11,14 +11,14 @@
 namespace magnolia::forward
 {
 
-/** A caller's request, whole. */
+/** A complete request of a caller. */
 struct CallerRequest {
     http::MessageHead head;
     std::string body;
-    BootTime receivedAt; ///< When its first byte came.
+    BootTime receivedAt; ///< When the first byte arrived.
 };
 
-/** Where the answer to one request goes. One of the two ways is taken, once. */
+/** Writes the answer to one request: either one call of sendAnswer(), or one stream. */
 class AnswerWriter
 {
 public:
@@ -30,12 +30,12 @@
     virtual void sendPiece(std::string_view piece) = 0;
     virtual void endStream() = 0;
 
-    /** Closes the connection, so that the answer can't pass for whole. */
+    /** Closes the connection, so that the caller can't take the answer for a complete one. */
     virtual void abort() = 0;
 
-    virtual std::size_t pendingBytes() const = 0; ///< Not taken by the caller yet.
+    virtual std::size_t pendingBytes() const = 0; ///< Bytes that the caller has not read yet.
 
-    /** It has closed its connection, which is told by callerLeft() soon. */
+    /** The caller has closed its connection; ForwardedRequest::onCallerLeft() follows soon. */
     virtual bool hasCallerLeft() const = 0;
 };
 
--- a/libs/forward/src/attempthistory.h
+++ b/libs/forward/src/attempthistory.h
@@ -13,11 +13,11 @@
 {
 
 /**
- * To which endpoints one request was sent, for the route's bound on them. A value type.
+ * The endpoints to which one request was dispatched, for the route's limit on their number. A value type.
  *
  * @code
- * sendings.began(endpoint.id);
- * if (sendings.mayTryAnother(route.maxEndpoints)) { sendElsewhere(); }
+ * attempts.add(endpoint.id);
+ * if (attempts.allowsAnother(route.maxEndpoints)) { dispatchElsewhere(); }
  * @endcode
  */
 class AttemptHistory
@@ -32,7 +32,7 @@
         ++count_;
     }
 
-    /** The last one does not count against the bound and may be tried again: it reached nobody, or waits for its group. */
+    /** Removes the last attempt from the count, so that its endpoint may be tried again: the request did not arrive, or waits for the endpoint's group. */
     void forgetLast()
     {
         tried_.pop_back();
@@ -43,38 +43,38 @@
         return tried_.size() < maxEndpoints;
     }
 
-    /** As many endpoints as allowed have seen it, so that a further sending has to go to one of them. */
+    /** The request was dispatched to the maximum number of endpoints, so another attempt has to go to one of them. */
     bool hasReachedLimit(std::size_t maxEndpoints) const
     {
         return reached_.size() >= maxEndpoints;
     }
 
-    /** Ids that are not to be tried again. */
+    /** Ids of endpoints that must not be tried again. */
     std::span<const std::string> tried() const
     {
         return tried_;
     }
 
-    /** Id of the last one that counts; empty if there is none. */
+    /** Id of the endpoint of the last counted attempt; empty if there is none. */
     std::string_view lastTried() const
     {
         return tried_.empty() ? std::string_view() : std::string_view(tried_.back());
     }
 
-    /** Id of the endpoint that saw it last; only after a sending. */
+    /** Id of the endpoint that was added last for the first time. Valid only after add(). */
     const std::string &lastReached() const
     {
         return reached_.back();
     }
 
-    std::uint32_t count() const ///< All of them.
+    std::uint32_t count() const ///< All attempts, also the forgotten ones.
     {
         return count_;
     }
 
 private:
     std::vector<std::string> tried_;
-    std::vector<std::string> reached_; ///< Each once.
+    std::vector<std::string> reached_; ///< Each id once.
     std::uint32_t count_ = 0;
 };
 
--- a/libs/forward/src/forwardcontext.h
+++ b/libs/forward/src/forwardcontext.h
@@ -19,11 +19,11 @@
 namespace magnolia::forward
 {
 
-// A process that has just started knows its routes and endpoints within a few tens of milliseconds if the store answers.
-// Callers whose connections were cut by its end come back at that very moment, and would use up their retry on a refusal.
+// After its start a process learns the routes and endpoints within a few tens of milliseconds if the store answers.
+// Callers whose connections were closed by the restart reconnect at that moment, and would waste their retry on a rejection.
 constexpr Duration StartupPeriod{3000};
 
-/** What all requests of an entry share; owned by its task. */
+/** State shared by all requests of an entry. Owned by its ForwardTask. */
 struct ForwardContext {
     ForwardContext(event_base *eventLoop, ForwardOptions forwardOptions, observe::Metrics &metricsRegistry)
         : loop(eventLoop)
@@ -39,19 +39,19 @@
     {
     }
 
-    /** Whether a request may be taken: always, but while stopping only early, or if it ends before the process does. */
+    /** Whether a new request is accepted. While stopping: only during the first seconds, or if its deadline is before the end of the process. */
     bool acceptsRequest(BootTime now, BootTime deadline) const
     {
         return !isStopping || now < acceptsUntil || deadline <= exitsAt;
     }
 
-    /** The process has just started, and may learn what it lacks any moment. */
+    /** The process has just started, and may receive missing routes and endpoints at any moment. */
     bool isStarting(BootTime now) const
     {
         return now < startedAt + StartupPeriod;
     }
 
-    /** Calls all who wait for news of routes or endpoints; each may begin to wait again. */
+    /** Calls all waiters for a change of the routes or endpoints. A waiter may register itself again. */
     void notifyWaiters()
     {
         for (const auto &waiter : std::exchange(waiters, {})) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** An endpoint of the service began a good answer: whoever waits for its group may try again. */
+    /** An endpoint of the service began a successful answer: requests that wait for its group may be dispatched again. */
     void recordGoodAnswer(std::string_view service)
     {
         const auto found = lastGoodAnswerAt.find(service);
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The same on the loop's next turn, from within a call of one of them. */
+    /** Calls notifyWaiters() on the loop's next turn; for use within a call of a waiter. */
     void scheduleNotification()
     {
         notifyTimer.start(Duration(0));
@@ -109,12 +109,12 @@
 
     event_base *loop;
     ForwardOptions options;
-    routing::RouteTable::Pointer routes; ///< Null until the first version has come.
+    routing::RouteTable::Pointer routes; ///< Null until the first version has arrived.
     routing::EndpointTable endpoints;
     routing::RoutingProof proof;
     routing::TextMap<routing::RetryAllowance> retryAllowances; ///< By service.
     routing::TextMap<std::unique_ptr<SlotQueue>> slotQueues; ///< By service.
-    routing::TextMap<BootTime> lastGoodAnswerAt; ///< By service: when an endpoint last began a good answer.
+    routing::TextMap<BootTime> lastGoodAnswerAt; ///< By service: when an endpoint last began a successful answer.
     EndpointConnectionPool connections;
     Random random;
     ForwardMetrics metrics;
@@ -122,10 +122,10 @@
     LivenessMonitor livenessMonitor;
     RequestLog log;
     bool isStopping = false;
-    BootTime acceptsUntil; ///< While stopping: any request is taken before that.
-    BootTime exitsAt; ///< While stopping: the process ends then at the latest.
+    BootTime acceptsUntil; ///< While stopping: every new request is accepted until then.
+    BootTime exitsAt; ///< While stopping: the process exits then at the latest.
     BootTime startedAt = BootClock::now();
-    std::vector<std::function<void()>> waiters; ///< For the next news.
+    std::vector<std::function<void()>> waiters; ///< Called at the next change of the routes or endpoints.
     http::Timer notifyTimer;
 };
 
--- a/libs/forward/src/forwardedrequest.cpp
+++ b/libs/forward/src/forwardedrequest.cpp
@@ -28,31 +28,31 @@
 
 constexpr Duration OverdueRecheckInterval{100};
 
-// For a request that may run at most once only a connection is used that the endpoint is not likely to be closing just
-// now: if it were, nobody could tell whether the request ran.
+// Maximum idle time of a pooled connection for a request that may run at most once. The endpoint is likely to close a
+// connection that has been idle for longer; if it does while the request is on its way, it is unknown whether it ran.
 constexpr Duration MaxIdleAtMostOnce{1000};
 constexpr Duration MaxIdle{60000};
 
-// A stream waits for a place for half of its objective: its first event comes in about the other half.
+// A stream waits for a slot for half of its latency objective; its first event takes about the other half.
 constexpr int ObjectiveShare = 2;
-constexpr routing::Priority DefaultPriority = 5; // Of a request that states none, as endpoints take it.
+constexpr routing::Priority DefaultPriority = 5; // What endpoints assume for a request without a priority.
 
-// News of routes and endpoints is waited for so long at most, and for a third of what the caller allows: after that it can
-// still try another instance.
+// A request waits for a change of the routes or endpoints for at most this long, and at most a third of the caller's
+// timeout, so that the caller can still try another instance.
 constexpr Duration MaxUpdateWait{1500};
 constexpr int UpdateWaitShare = 3;
 
-// With nobody to send to, or only refusals: engines that restart are back after about a second.
+// No endpoint accepts work: engines that restart are back after about a second.
 constexpr Duration RetryAfterUnavailable{800};
 constexpr Duration RetryAfterFull{1000}; // Streams last one to two seconds.
-// A group that did not come back while its caller waited lacks a rank, which is restarted or replaced within some seconds.
+// A group that did not recover while its caller waited lacks a rank, which is restarted or replaced within some seconds.
 constexpr Duration RetryAfterGroup{1800};
-constexpr Duration RetryAfterStopping{50}; // Another instance takes it at once.
+constexpr Duration RetryAfterStopping{50}; // Other instances accept the request at once.
 
-// Beyond this the endpoint is not read any more until the caller has taken some.
+// With more bytes than this queued for the caller, reading from the endpoint is paused.
 constexpr std::size_t MaxPendingBytes = 256U << 10U;
 
-// A whole answer is held in memory until it has come; more than this is no answer to a request of this kind.
+// An answer that is not a stream is buffered in memory until it is complete. Larger ones are treated as an error.
 constexpr std::size_t MaxAnswerBytes = 16U << 20U;
 
 constexpr std::string_view TraceHeader = "traceparent"; // W3C trace context.
@@ -143,7 +143,7 @@
     stepModel_ = service != nullptr && service->steps ? &*service->steps : nullptr;
 }
 
-/** A stream takes a place among those in progress, or waits for one as long as it could still be in time. */
+/** Dispatches the request. A stream waits for a free slot first, as long as it can still meet its latency objective. */
 void ForwardedRequest::acquireSlot()
 {
     const BootTime now = BootClock::now();
@@ -164,7 +164,7 @@
     startTimer();
 }
 
-/** @return false if it was not waiting for that. */
+/** Ends the wait for the given thing. @return false if the request was not waiting for it. */
 bool ForwardedRequest::stopWaitingFor(Waiting awaited)
 {
     if (waitingFor_ != awaited) {
@@ -174,7 +174,7 @@
     return true;
 }
 
-/** @return false if there is nothing to wait for, or the time for it is over. */
+/** Waits for a change of the routes or endpoints while the process is starting. @return false if it does not wait. */
 bool ForwardedRequest::waitForUpdate()
 {
     const BootTime now = BootClock::now();
@@ -185,14 +185,14 @@
     return true;
 }
 
-/** Waits until the endpoint's group may be tried again. @return false if the time for it is over. */
+/** Waits until the endpoint's group may be tried again. @return false if it is too late to wait. */
 bool ForwardedRequest::waitForGroup(const routing::Endpoint &endpoint)
 {
     const BootTime latest = std::min(updateWaitEnds_, latestDispatch());
     if (isStreaming_ || BootClock::now() >= latest) {
         return false;
     }
-    // What was refused once costs the retry budget: it waits until a new request has shown that the group runs again.
+    // Trying a refused request again uses the retry budget, so it waits until another request has shown that the group runs.
     beginWaiting(needsRetryBudget_ ? latest : std::min(latest, endpoint.refusesUntil));
     return true;
 }
@@ -241,7 +241,7 @@
     if (endIfQuarantined()) {
         return;
     }
-    if (writer_->hasCallerLeft()) { // A process that is late may read the request and the caller's end together.
+    if (writer_->hasCallerLeft()) { // After a delay of this process the request and the close of the connection may be read together.
         startTimer();
         return;
     }
@@ -271,7 +271,7 @@
     endUnsuccessfully(isFirst ? "no endpoint takes work" : "no other endpoint takes work", StatusBadGateway);
 }
 
-/** @return null if there is none. Never one more endpoint than the route allows. */
+/** @return null if no endpoint is available. Keeps to the number of endpoints that the route allows. */
 routing::EndpointPointer ForwardedRequest::chooseEndpoint() const
 {
     if (needsRetryBudget_ && attempts_.hasReachedLimit(route_->maxEndpoints)) {
@@ -316,7 +316,7 @@
         context_.livenessMonitor.addRequest(endpoint, this, [moving = weak_from_this()] {
             const auto self = moving.lock();
             if (self != nullptr && self->attempt_ != nullptr && !self->leaveUnresponsive("endpoint silent")) {
-                self->startTimer(); // An answer may be due sooner now.
+                self->startTimer(); // The answer may be due earlier now.
             }
         });
     }
@@ -350,7 +350,7 @@
     return route_->kind == RouteKind::Idempotent || (route_->kind == RouteKind::Stream && route_->isResumable);
 }
 
-/** @return why it may not be sent elsewhere; empty if it may, which is then counted against the retry budget. */
+/** Takes one retry from the retry budget if the request may be retried. @return why it may not; empty if it may. */
 std::string_view ForwardedRequest::reserveRetry()
 {
     if (mayHaveRun_ && !isRepeatable()) {
@@ -382,7 +382,7 @@
                                    .inProgressThere = endpoint_->inFlight});
 }
 
-/** What is known of the endpoint as it is told, by the end of its connection, to stop the work. */
+/** Logs the state of the current attempt and its endpoint. Called before the attempt is cancelled. */
 void ForwardedRequest::logCancelledAttempt(std::string_view cause)
 {
     if (attempt_ == nullptr) {
@@ -404,7 +404,7 @@
                                       .inProgressThere = endpoint_->inFlight});
 }
 
-/** Sends it elsewhere if kind, bound and budget allow. @return false if not. */
+/** Retries the request at another endpoint if its kind, its route and the retry budget allow. @return false if not. */
 bool ForwardedRequest::retryElsewhere(std::string_view cause)
 {
     const std::string_view denial = reserveRetry();
@@ -428,7 +428,7 @@
     return true;
 }
 
-/** The connection to the endpoint broke under the request: nothing is sent elsewhere before it is known whether the endpoint ended. */
+/** After a broken connection: holds back the retry until a probe has found out whether the endpoint crashed, so that the crash counts. */
 void ForwardedRequest::waitForProbe()
 {
     waitingFor_ = Waiting::ForProbe;
@@ -441,7 +441,7 @@
     });
 }
 
-/** @return true if endpoints ended under its like: it is sent to no other. */
+/** Ends the request if it is quarantined after endpoints crashed while running it. @return true if it has ended. */
 bool ForwardedRequest::endIfQuarantined()
 {
     const auto left = context_.crashTracker.quarantineLeft(fingerprint_);
@@ -481,7 +481,7 @@
     const bool isEvents = head.headers.value("content-type").starts_with(EventStream);
     isStreamAnswer_ = route_->kind == RouteKind::Stream && isSuccess(head.status) && isEvents;
     if (isStreamAnswer_) {
-        if (heardAt_ < answerDue()) { // Else this process was late, not the service.
+        if (heardAt_ < answerDue()) { // Otherwise this process was late, not the service.
             context_.endpoints.streamBegan(service_, heardAt_ - sentAt_, heardAt_);
         }
         splitter_.resume();
@@ -491,7 +491,7 @@
 void ForwardedRequest::updateRateLimit(const http::MessageHead &head)
 {
     if (head.status == StatusMisdirected) {
-        return; // Another endpoint may have answered at that address.
+        return; // The answer may come from another endpoint that now has this address.
     }
     const std::string *stated = head.headers.find(context_.options.protocol.rateLimit);
     const auto perSecond = stated != nullptr ? rateOf(*stated) : std::nullopt;
@@ -552,7 +552,7 @@
     }
 }
 
-/** Tells the service's limit of the time between two events. */
+/** Reports the time between two events to the concurrency limit of the service. */
 void ForwardedRequest::recordPause()
 {
     const BootTime before = std::exchange(lastEventAt_, heardAt_);
@@ -574,7 +574,7 @@
     if (!std::exchange(isReadingPaused_, false)) {
         return;
     }
-    heardAt_ = BootClock::now(); // The silence was the caller's.
+    heardAt_ = BootClock::now(); // Reading was paused for the caller, so the endpoint is not to blame for the time without data.
     bounds_.eventSent(heardAt_);
     if (attempt_ != nullptr) {
         attempt_->setReading(true);
@@ -603,7 +603,7 @@
     }
     endAttempt(isUnsent ? EndpointSign::Unreachable : EndpointSign::Failed);
     if (isUnsent) {
-        // It reached nobody, so it counts neither against the route's bound nor, for the endpoint, as an arrival.
+        // The request did not reach the endpoint: the attempt does not count against the route's limit on endpoints.
         attempts_.forgetLast();
         endpoint_->avoidUntil = std::max(endpoint_->avoidUntil, BootClock::now() + routing::ConnectTimeout);
         const bool mayDialAgain = attempts_.count() <= context_.endpoints.ofService(service_).size();
@@ -625,10 +625,10 @@
     const Protocol &protocol = context_.options.protocol;
     const bool isNotRun = status == StatusMisdirected || incoming_.head.headers.find(protocol.notRun) != nullptr;
     if (isNotRun) {
-        // The expected instance is not at that address any more, or the endpoint has no room.
+        // The expected instance no longer has this address, or the endpoint has no free capacity.
         const std::string atFault(incoming_.head.headers.value(protocol.endpointAtFault));
         const bool isNamedPeer = !atFault.empty() && atFault != endpoint_->record.address;
-        // One that refuses though it has room can't run at all just now, e.g. since its group is forming.
+        // An endpoint that refuses with free capacity can't run anything at the moment, e.g. because its group is forming.
         const bool hasRoom = endpoint_->load.running + endpoint_->load.waiting < endpoint_->record.slots && endpoint_->reportedAt == heardAt_;
         const bool isForPeer = status == StatusUnavailable && (isNamedPeer || hasRoom);
         endAttempt(status == StatusMisdirected ? EndpointSign::Unreachable : EndpointSign::Refused);
@@ -638,7 +638,7 @@
         if (isForPeer && !mayHaveRun_ && !isStreaming_) {
             needsRetryBudget_ = true;
             groupRefusedAt_ = BootClock::now();
-            attempts_.forgetLast(); // It may be tried again, and does not count twice against the route's bound.
+            attempts_.forgetLast(); // The endpoint may be tried again and must not count twice against the route's limit.
             if (waitForGroup(*endpoint_)) {
                 logFailedAttempt("not-run", status, atFault, "wait for its group");
                 return;
@@ -722,7 +722,7 @@
     BootTime next = waitingFor_ == Waiting::ForNothing ? answerDue() : std::min(answerDue(), waitingEnds_);
     if (attempt_ != nullptr) {
         const BootTime bound = attemptDeadline();
-        // A bound that has passed without effect, e.g. for want of retry budget, is looked at again now and then.
+        // A deadline that passed without effect, e.g. because the retry budget was used up, is checked again periodically.
         next = std::min(next, bound > now ? bound : now + OverdueRecheckInterval);
     }
     timer_.start(std::max(std::chrono::ceil<Duration>(next - now), Duration(1)));
@@ -739,7 +739,7 @@
     return {.endpoint = endpoint_.get(), .sentAt = sentAt_, .heardAt = heardAt_, .isConnected = attempt_->isConnected(), .hasAnswer = attempt_->hasAnswer()};
 }
 
-/** @return until when the call in progress is left alone. */
+/** @return when the attempt in progress is reviewed for a move to another endpoint. */
 BootTime ForwardedRequest::attemptDeadline() const
 {
     return isReadingPaused_ ? bounds_.deadline() : timingPolicy().patienceEnds(attemptState(), BootClock::now());
@@ -781,10 +781,10 @@
     }
 }
 
-/** @return when the caller has to be told something, or it leaves. */
+/** @return when the caller must have received something; it is expected to leave after that. */
 BootTime ForwardedRequest::answerDue() const
 {
-    // A stream that has begun and is only where it can be called back when its caller leaves may go on until then.
+    // A running stream may continue past that time if it can be cancelled at every endpoint that may be running it.
     const bool mayGoOn = isStreaming_ && attempt_ != nullptr && !endpoint_->isSilent && !mayRunUnreachably_;
     return isReadingPaused_ || mayGoOn ? bounds_.deadline() : bounds_.nextEventDue();
 }
@@ -800,7 +800,12 @@
     return isDeadline ? "time is up" : "nothing can come before its caller leaves";
 }
 
-/** Nothing comes from the endpoint: the request is sent elsewhere, or ended if that can't be or is of no use. @return false if it is left there. */
+/**
+ * Handles an attempt whose endpoint sends nothing: moves the request to another endpoint, or ends it if it can't be moved
+ * in time and the endpoint is unresponsive.
+ *
+ * @return false if the attempt goes on.
+ */
 bool ForwardedRequest::leaveUnresponsive(std::string_view cause)
 {
     if (attempt_ == nullptr || !timingPolicy().isLeftBehind(attemptState())) {
@@ -810,12 +815,12 @@
     const bool isInTime = now < latestDispatch();
     const bool mayMove = isInTime && isRepeatable() && attempts_.allowsAnother(route_->maxEndpoints);
     if (mayMove && route_->kind == RouteKind::Stream && !context_.endpoints.hasOpening(service_, now, context_.random)) {
-        return false; // It would only wait behind others elsewhere; looked at again soon.
+        return false; // It would only queue behind other requests there; checked again soon.
     }
     if (mayMove && moveToOtherEndpoint(cause)) {
         return true;
     }
-    // What has begun goes on if the endpoint wakes, and what may not be repeated is of use to its caller only then.
+    // A running stream continues if the endpoint recovers, and a request that may not be repeated can be answered only by it.
     if (!endpoint_->isSilent || isStreaming_ || !isRepeatable()) {
         return false;
     }
@@ -823,7 +828,7 @@
     return true;
 }
 
-/** @return false if the retry budget does not allow it. */
+/** Cancels the attempt and dispatches the request to another endpoint. @return false if the retry budget is used up. */
 bool ForwardedRequest::moveToOtherEndpoint(std::string_view cause)
 {
     if (!context_.retryAllowanceOf(service_).tryRetry(BootClock::now())) {
@@ -844,11 +849,11 @@
 void ForwardedRequest::endOverdue(std::string_view cause)
 {
     if (attempt_ != nullptr) {
-        // One that others hear from is merely slow, or full.
+        // An endpoint that sends data for other requests is only slow or at capacity.
         const bool isHeard = route_->kind == RouteKind::Stream && endpoint_->heardAt > sentAt_;
         const bool isUnheard = !attempt_->hasAnswer() && !isHeard;
         if (isUnheard) {
-            context_.connections.closeAll(endpoint_->record.id); // It may be silent for good, and its siblings with it.
+            context_.connections.closeAll(endpoint_->record.id); // The connection may be dead, and the idle ones to this endpoint too.
         }
         mayHaveRun_ = mayHaveRun_ || attempt_->hasSent();
         logCancelledAttempt(cause);
@@ -858,10 +863,10 @@
 }
 
 /**
- * Ends it with nothing more to try. A stream that has begun can only be cut: whatever else was kept, e.g. an earlier
- * endpoint's failure, would stand in the middle of it.
+ * Ends the request when no further attempt is possible. A running stream can only be aborted: any other answer, e.g. a
+ * buffered error of an earlier endpoint, would end up in the middle of the stream.
  *
- * @param failedStatus told if it may have run.
+ * @param failedStatus status of the answer if the request may have run.
  */
 void ForwardedRequest::endUnsuccessfully(std::string_view cause, int failedStatus)
 {
--- a/libs/forward/src/forwardedrequest.h
+++ b/libs/forward/src/forwardedrequest.h
@@ -22,11 +22,12 @@
 {
 
 /**
- * One request of a caller, from its route to the end of its answer.
+ * One caller's request, from admission to the end of its answer.
  *
- * Sends it to one endpoint after the other as far as its kind, the route's bound and the retry budget allow. Whatever may
- * have run is never sent again unless its route says that it may, and is never refused as not run. Owned by shared_ptr by
- * the caller's connection, which is its sink and outlives it or calls callerLeft(). On its loop's thread.
+ * Dispatches the request to one endpoint after another as far as the route's kind, its limit on endpoints and the retry
+ * budget allow. A request that may have run is repeated only if its route allows that, and is never reported to the
+ * caller as not run. Owned through shared_ptr by the CallerSession, which implements the AnswerWriter and either outlives
+ * the request or calls onCallerLeft(). Used on the thread of the event loop only.
  */
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest>
 {
@@ -38,18 +39,18 @@
 
     void start();
 
-    /** The caller closed its connection: the endpoint is told to stop, and the sink is not used any more. */
+    /** The caller closed its connection: cancels the attempt in progress; the writer is not used afterwards. */
     void onCallerLeft();
 
-    /** The caller has taken what was queued for it. */
+    /** The caller has read everything that was queued for it: resumes reading from the endpoint. */
     void onCallerDrained();
 
 private:
     enum class Waiting : std::uint8_t {
         ForNothing,
-        ForUpdate, ///< Of routes, endpoints or its group.
-        ForSlot, ///< Among the streams in progress.
-        ForProbe, ///< Of the endpoint to which its connection broke.
+        ForUpdate, ///< A change of the routes or endpoints, or the recovery of the endpoint's group.
+        ForSlot, ///< A free slot in the service's SlotQueue.
+        ForProbe, ///< The probe of an endpoint after a connection to it broke.
     };
 
     struct BufferedAnswer {
@@ -70,7 +71,7 @@
     routing::EndpointPointer chooseEndpoint() const;
     void handleRejection(const Rejection &rejection);
 
-    // Sendings.
+    // Attempts.
     void dispatchNext();
     void dispatch(const routing::EndpointPointer &endpoint);
     std::optional<routing::Priority> priority() const;
@@ -80,7 +81,7 @@
     void waitForProbe();
     bool endIfQuarantined();
 
-    /** Endpoints had ended under it when it was sent. */
+    /** Crashes had been reported for this request when the current attempt was dispatched. */
     bool hasCrashReports() const
     {
         return ordinal_ > 1;
@@ -100,7 +101,7 @@
     void handleStreamEnd(AttemptEnd end);
     void relayAnswer(BufferedAnswer answer);
 
-    // Ends.
+    // Timeouts and the end of the request.
     void onTimer();
     void releaseUnbegun();
     bool leaveUnresponsive(std::string_view cause);
@@ -130,44 +131,44 @@
     routing::RouteTable::Pointer routes_; ///< Kept, since route_ and organisation_ point into it.
     const routing::Route *route_ = nullptr;
     const routing::Organisation *organisation_ = nullptr;
-    std::uint32_t ordinal_ = 1; ///< Of the sending in progress, should its endpoint end.
+    std::uint32_t ordinal_ = 1; ///< Ordinal of the crash report if the endpoint of the current attempt crashes.
     std::string fingerprint_; ///< Empty until route and organisation are known.
     std::string service_;
-    SlotQueue *slots_ = nullptr; ///< Of the service; set once it is known.
-    const routing::StepModel *stepModel_ = nullptr; ///< Of the service's engines; null if it has none. Lives in routes_.
+    SlotQueue *slots_ = nullptr; ///< The slot queue of service_; null until the service is chosen.
+    const routing::StepModel *stepModel_ = nullptr; ///< Step model of the service's engines, owned by routes_; null if the service has none.
     routing::CallerBounds bounds_;
-    BootTime updateWaitEnds_; ///< News of routes and endpoints is waited for no longer.
+    BootTime updateWaitEnds_; ///< Latest time to wait for a change of the routes or endpoints.
     Waiting waitingFor_ = Waiting::ForNothing;
-    BootTime waitingSince_; ///< For a place.
-    BootTime waitingEnds_; ///< It is tried again or refused then at the latest.
-    bool isWaiterRegistered_ = false; ///< Among those who wait for the next news.
+    BootTime waitingSince_; ///< When the wait for a slot began.
+    BootTime waitingEnds_; ///< At this time the request stops waiting, and is dispatched or rejected.
+    bool isWaiterRegistered_ = false; ///< This request is in ForwardContext::waiters.
     http::Timer timer_;
 
     AttemptHistory attempts_;
     RequestSpans spans_;
-    bool isCountedUnbegun_ = false; ///< The call in progress is a stream whose answer has not begun.
+    bool isCountedUnbegun_ = false; ///< The current attempt is counted in Endpoint::unbegun: a stream without an answer head yet.
     bool mayHaveRun_ = false;
     bool hasRetried_ = false;
-    bool needsRetryBudget_ = false; ///< The next sending has to be within the retry budget.
-    BootTime groupRefusedAt_; ///< When an endpoint last refused it for its group's sake.
+    bool needsRetryBudget_ = false; ///< The next attempt is a retry and must be granted by the retry budget.
+    BootTime groupRefusedAt_; ///< When an endpoint last refused the request because its group was not running.
     std::shared_ptr<EndpointAttempt> attempt_;
-    routing::EndpointPointer endpoint_; ///< Of the call in progress.
+    routing::EndpointPointer endpoint_; ///< Endpoint of the latest attempt.
     BootTime sentAt_;
-    BootTime heardAt_; ///< When something last came from the endpoint.
-    std::uint32_t unbegunWhenSent_ = 0; ///< Unbegun requests of this instance at the endpoint before this one.
-    BootClock::duration silenceWhenSent_{0}; ///< Since something had come from the endpoint while it had requests.
+    BootTime heardAt_; ///< When the endpoint last sent data for this request.
+    std::uint32_t unbegunWhenSent_ = 0; ///< Streams of this instance at the endpoint without an answer head when this one was sent.
+    BootClock::duration silenceWhenSent_{0}; ///< How long the endpoint had sent nothing, with requests in progress, when this one was sent.
     BufferedAnswer incoming_;
-    std::optional<BufferedAnswer> fallback_; ///< An endpoint's failure, passed on if nothing better comes.
+    std::optional<BufferedAnswer> fallback_; ///< An endpoint's error answer, relayed if no later attempt succeeds.
 
-    bool mayRunUnreachably_ = false; ///< An endpoint out of reach still holds it.
-    bool isReadingPaused_ = false; ///< The endpoint is not read until the caller has taken more.
-    bool isStreaming_ = false; ///< The caller has the head of a stream.
-    bool isStreamAnswer_ = false; ///< The call's answer is a stream of events.
+    bool mayRunUnreachably_ = false; ///< An unreachable endpoint may still run an earlier attempt, which can't be cancelled.
+    bool isReadingPaused_ = false; ///< Reading from the endpoint is paused until the caller has read what is queued.
+    bool isStreaming_ = false; ///< The head of a stream has been sent to the caller.
+    bool isStreamAnswer_ = false; ///< The answer of the current attempt is an event stream.
     EventSplitter splitter_;
     std::uint64_t eventCount_ = 0;
-    BootTime lastEventAt_; ///< When the last one was passed on.
-    BootClock::duration longestPause_{0}; ///< Between two of them.
-    BootClock::duration slotWait_{0}; ///< For a place.
+    BootTime lastEventAt_; ///< When events were last relayed.
+    BootClock::duration longestPause_{0}; ///< Between two relays of events.
+    BootClock::duration slotWait_{0}; ///< Time spent waiting for a slot.
     BootTime firstByteAt_;
 };
 
--- a/libs/forward/src/slotqueue.h
+++ b/libs/forward/src/slotqueue.h
@@ -15,24 +15,24 @@
 {
 
 /**
- * Streams of one service that are in progress, and those that wait for a place.
+ * Limits the requests of one service that are in progress, and queues streams that wait for a slot.
  *
- * The most urgent goes first, but an urgency is worth only so much time: whoever has waited longer passes those that came
- * later, so that nobody waits for ever behind urgent ones. Lives on one event loop.
+ * Streams are admitted by priority, but each level of priority is worth only a fixed waiting time: a stream that has
+ * waited longer goes before later ones of a higher priority, so none starves. Lives on one event loop.
  *
  * @code
- * if (!queue.hasRoom(now)) { queue.wait(priority, now, [waiting = weak_from_this()] { ... }); }
+ * if (!queue.hasFreeSlot(now)) { queue.enqueue(priority, now, [waiting = weak_from_this()] { ... }); }
  * @endcode
  */
 class SlotQueue
 {
 public:
-    using Callback = std::function<void()>; ///< Called when there is room; one that does not want it any more does nothing.
+    using Callback = std::function<void()>; ///< Called when a slot is free; does nothing if the request no longer waits.
 
-    /** @param hasOpening whether an endpoint can be sent one more. */
+    /** @param hasOpening tells whether an endpoint can accept another stream. */
     SlotQueue(event_base *loop, std::function<bool()> hasOpening) : timer_(loop, [this] { admitWaiting(); }), hasOpening_(std::move(hasOpening)) {}
 
-    /** For one that has not waited: there is a place, and nobody waits for it. */
+    /** A slot is free and no stream is queued for it. */
     bool hasFreeSlot(BootTime now) const
     {
         return waiting_.empty() && limit_.hasRoom(inProgress_, now) && hasOpening_();
@@ -41,7 +41,7 @@
     void enqueue(routing::Priority priority, BootTime since, Callback onSlot)
     {
         if (waiting_.empty()) {
-            timer_.start(RecheckInterval); // The limit grows by itself.
+            timer_.start(RecheckInterval); // The limit grows over time without an event.
         }
         waiting_.emplace(since + priority * TimePerPriority, std::move(onSlot));
     }
@@ -57,11 +57,11 @@
         scheduleAdmission();
     }
 
-    /** An endpoint may be sent one more. */
+    /** Admits queued streams on the loop's next turn, e.g. since an endpoint can accept another one. */
     void scheduleAdmission()
     {
         if (!waiting_.empty()) {
-            timer_.start(Duration(0)); // Not from within a call of its owner.
+            timer_.start(Duration(0)); // Callbacks must not run inside a call of the queue's user.
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
 private:
-    // A level of urgency goes before whatever came so much later; callers wait some tenths of a second in all.
+    // Head start of each priority level. Callers wait some tenths of a second in total.
     static constexpr Duration TimePerPriority{20};
     static constexpr Duration RecheckInterval{20};
 
@@ -95,7 +95,7 @@
     http::Timer timer_;
     std::function<bool()> hasOpening_;
     routing::ConcurrencyLimit limit_{{}};
-    std::multimap<BootTime, Callback> waiting_; ///< By the time from which on it counts as waiting.
+    std::multimap<BootTime, Callback> waiting_; ///< By arrival time, adjusted for the priority.
     std::size_t inProgress_ = 0;
 };
 
