--- a/libs/forward/tests/endpointlisttest.cpp
+++ b/libs/forward/tests/endpointlisttest.cpp
@@ -1,7 +1,7 @@
 #include "forward/endpointlist.h"
 
 #include "loopfixture.h"
-#include "notingtask.h"
+#include "recordingtask.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -29,10 +29,10 @@
     {
         list.takeAll({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
         list.confirmed(BootClock::now());
-        notes.told.clear();
+        notes.updates.clear();
     }
 
-    NotingTask notes;
+    RecordingTask notes;
     EndpointList list{loop.get(), notes, {.renewalInterval = 1200ms, .comeBackTime = 100ms}};
 };
 
@@ -43,7 +43,7 @@
 BOOST_AUTO_TEST_CASE(changes_told_areInForceAtOnce)
 {
     list.takeChanges({.version = 11, .endpoints = {recordOf("b", true), recordOf("c")}}, std::array<std::string, 1>{"a"});
-    BOOST_TEST(notes.told == (Texts{"leaving b", "endpoint c", "gone a"}), boost::test_tools::per_element());
+    BOOST_TEST(notes.updates == (Texts{"leaving b", "endpoint c", "gone a"}), boost::test_tools::per_element());
     BOOST_TEST(list.version() == 11U);
 }
 
@@ -52,20 +52,20 @@
 {
     EndpointList peer(loop.get(), notes, {});
     peer.takeAll({.version = 20, .endpoints = {recordOf("b")}});
-    notes.told.clear();
+    notes.updates.clear();
     list.takePeers(peer.document());
-    BOOST_TEST(notes.told == (Texts{"endpoint b", "gone a"}), boost::test_tools::per_element());
-    notes.told.clear();
+    BOOST_TEST(notes.updates == (Texts{"endpoint b", "gone a"}), boost::test_tools::per_element());
+    notes.updates.clear();
     list.takeChanges({.version = 15, .endpoints = {recordOf("a")}}, {});
     list.takeAll({.version = 15, .endpoints = {recordOf("a")}});
-    BOOST_TEST(notes.told.empty());
+    BOOST_TEST(notes.updates.empty());
     BOOST_TEST(list.version() == 20U);
 }
 
 BOOST_AUTO_TEST_CASE(peersList_unreadable_changesNothing)
 {
     list.takePeers("no list");
-    BOOST_TEST(notes.told.empty());
+    BOOST_TEST(notes.updates.empty());
     BOOST_TEST(list.version() == 10U);
 }
 
@@ -83,12 +83,12 @@
     EndpointList lapsed(loop.get(), notes, {.renewalInterval = 1200ms, .comeBackTime = 100ms});
     lapsed.takeAll({.version = 10, .endpoints = {recordOf("a")}});
     lapsed.confirmed(BootClock::now() - 5s);
-    notes.told.clear();
+    notes.updates.clear();
     lapsed.takeAll({.version = 11, .endpoints = {}});
     lapsed.confirmed(BootClock::now());
-    BOOST_TEST(notes.told.empty());
-    BOOST_TEST(runUntil([this] { return !notes.told.empty(); }, 2000ms));
-    BOOST_TEST(notes.told == (Texts{"gone a"}), boost::test_tools::per_element());
+    BOOST_TEST(notes.updates.empty());
+    BOOST_TEST(runUntil([this] { return !notes.updates.empty(); }, 2000ms));
+    BOOST_TEST(notes.updates == (Texts{"gone a"}), boost::test_tools::per_element());
 }
 
 // Guards against an endpoint that has left being brought back by a peer that still keeps it after its own silence: the store
@@ -102,10 +102,10 @@
     list.confirmed(BootClock::now());
     keeping.takeChanges({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
     keeping.confirmed(BootClock::now());
-    notes.told.clear();
+    notes.updates.clear();
     list.takePeers(keeping.document());
     list.confirmed(BootClock::now());
-    BOOST_TEST(!notes.wasTold("endpoint a"));
+    BOOST_TEST(!notes.hasReceived("endpoint a"));
     const auto told = routing::decodeListing(list.document());
     BOOST_REQUIRE(told.has_value());
     BOOST_TEST((told->endpoints == std::vector{recordOf("b")}));
@@ -114,7 +114,7 @@
 // Guards against the same endpoint being kept for good by an entry that keeps it for a while itself, once a peer's list has named it.
 BOOST_AUTO_TEST_CASE(peersList_withEndpointThatBothOnlyKeep_isStillGivenUp)
 {
-    NotingTask own;
+    RecordingTask own;
     EndpointList keeping(loop.get(), notes, {.renewalInterval = 1200ms, .comeBackTime = 100ms});
     EndpointList lapsed(loop.get(), own, {.renewalInterval = 1200ms, .comeBackTime = 100ms});
     for (EndpointList *each : {&keeping, &lapsed}) {
@@ -127,14 +127,14 @@
     keeping.confirmed(BootClock::now());
     lapsed.takePeers(keeping.document());
     lapsed.confirmed(BootClock::now());
-    BOOST_TEST(runUntil([&] { return own.wasTold("gone a"); }, 2000ms));
+    BOOST_TEST(runUntil([&] { return own.hasReceived("gone a"); }, 2000ms));
 }
 
 // Guards against an entry that follows its peers alone never hearing that an endpoint which a peer kept for a while is gone: the peer gives it up without a new
 // version.
 BOOST_AUTO_TEST_CASE(peersList_endpointGivenUpByPeerLater_isGivenUpHereToo)
 {
-    NotingTask own;
+    RecordingTask own;
     EndpointList follower(loop.get(), own, {.renewalInterval = 1200ms, .comeBackTime = 100ms});
     follower.takeAll({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
     follower.confirmed(BootClock::now());
@@ -150,10 +150,10 @@
         follower.confirmed(BootClock::now());
     };
     askPeer();
-    notes.told.clear();
-    BOOST_REQUIRE(runUntil([&] { return notes.wasTold("gone a"); }, 2000ms));
+    notes.updates.clear();
+    BOOST_REQUIRE(runUntil([&] { return notes.hasReceived("gone a"); }, 2000ms));
     askPeer();
-    BOOST_TEST(runUntil([&] { return own.wasTold("gone a"); }, 1000ms));
+    BOOST_TEST(runUntil([&] { return own.hasReceived("gone a"); }, 1000ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/forward/tests/notingtask.h
+++ b/libs/forward/tests/recordingtask.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_FORWARD_TESTS_NOTINGTASK_H
-#define MAGNOLIA_FORWARD_TESTS_NOTINGTASK_H
+#ifndef MAGNOLIA_FORWARD_TESTS_RECORDINGTASK_H
+#define MAGNOLIA_FORWARD_TESTS_RECORDINGTASK_H
 
 #include "forward/forwardtask.h"
 
@@ -13,12 +13,12 @@
 {
 
 /** Notes what it is told. */
-class NotingTask final : public forward::ForwardTask
+class RecordingTask final : public forward::ForwardTask
 {
 public:
     void putRoutes(routing::RouteTable::Pointer table) override
     {
-        told.push_back("routes " + std::to_string(table->version()));
+        updates.push_back("routes " + std::to_string(table->version()));
     }
     void confirmRoutes(BootTime /*asOf*/) override
     {
@@ -27,11 +27,11 @@
     void setInstances(std::size_t /*instances*/) override {}
     void putEndpoint(const routing::EndpointRecord &record) override
     {
-        told.push_back((record.isLeaving ? "leaving " : "endpoint ") + record.id);
+        updates.push_back((record.isLeaving ? "leaving " : "endpoint ") + record.id);
     }
     void removeEndpoint(std::string_view id) override
     {
-        told.push_back("gone " + std::string(id));
+        updates.push_back("gone " + std::string(id));
     }
     void shareCrashes(CrashSharing sharing) override
     {
@@ -39,12 +39,12 @@
     }
     void putCrashReport(const routing::CrashReport &report) override
     {
-        told.push_back("crash " + report.fingerprint + " " + std::to_string(report.ordinal));
+        updates.push_back("crash " + report.fingerprint + " " + std::to_string(report.ordinal));
         crashReports.push_back(report);
     }
     void withdrawCrashReport(std::string_view fingerprint, std::uint32_t ordinal) override
     {
-        told.push_back("no crash " + std::string(fingerprint) + " " + std::to_string(ordinal));
+        updates.push_back("no crash " + std::string(fingerprint) + " " + std::to_string(ordinal));
     }
     void drain() override {}
     std::string callersAddress() const override
@@ -56,12 +56,12 @@
         return {};
     }
 
-    bool wasTold(const std::string &what) const
+    bool hasReceived(const std::string &what) const
     {
-        return std::find(told.begin(), told.end(), what) != told.end();
+        return std::find(updates.begin(), updates.end(), what) != updates.end();
     }
 
-    std::vector<std::string> told;
+    std::vector<std::string> updates;
     int confirmations = 0;
     CrashSharing crashSharing;
     std::vector<routing::CrashReport> crashReports;
