--- a/libs/forward/tests/endpointlisttest.cpp
+++ b/libs/forward/tests/endpointlisttest.cpp
@@ -1,7 +1,7 @@
 #include "forward/endpointlist.h"
 
 #include "loopfixture.h"
-#include "notingtask.h"
+#include "recordingtask.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 using routing::EndpointRecord;
-using Texts = std::vector<std::string>;
+using Updates = std::vector<std::string>;
 
 EndpointRecord recordOf(const std::string &id, bool isLeaving = false)
 {
@@ -29,131 +29,132 @@
     {
         list.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
         list.confirm(BootClock::now());
-        notes.told.clear();
+        task.updates.clear();
     }
 
-    NotingTask notes;
-    EndpointList list{loop.get(), notes, {.renewalInterval = 1200ms, .recoveryTime = 100ms}};
+    RecordingTask task;
+    EndpointList list{loop.get(), task, {.renewalInterval = 1200ms, .recoveryTime = 100ms}};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(EndpointListTest, EndpointListFixture)
 
-BOOST_AUTO_TEST_CASE(changes_told_areInForceAtOnce)
+BOOST_AUTO_TEST_CASE(changes_received_areAppliedAtOnce)
 {
     list.applyDelta({.version = 11, .endpoints = {recordOf("b", true), recordOf("c")}}, std::array<std::string, 1>{"a"});
-    BOOST_TEST(notes.told == (Texts{"leaving b", "endpoint c", "gone a"}), boost::test_tools::per_element());
+    BOOST_TEST(task.updates == (Updates{"leaving b", "endpoint c", "gone a"}), boost::test_tools::per_element());
     BOOST_TEST(list.version() == 11U);
 }
 
-// Guards against an endpoint that has left coming back by the store's answer to a question put before a peer told of its leaving.
-BOOST_AUTO_TEST_CASE(answers_olderThanWhatAPeerTold_areNotTaken)
+// Guards against a removed endpoint being added again by a store's answer that is older than the peer's list which reported the removal.
+BOOST_AUTO_TEST_CASE(storeAnswers_olderThanAPeersList_areIgnored)
 {
-    EndpointList peer(loop.get(), notes, {});
+    EndpointList peer(loop.get(), task, {});
     peer.applySnapshot({.version = 20, .endpoints = {recordOf("b")}});
-    notes.told.clear();
+    task.updates.clear();
     list.applyPeerSnapshot(peer.encodedSnapshot());
-    BOOST_TEST(notes.told == (Texts{"endpoint b", "gone a"}), boost::test_tools::per_element());
-    notes.told.clear();
+    BOOST_TEST(task.updates == (Updates{"endpoint b", "gone a"}), boost::test_tools::per_element());
+    task.updates.clear();
     list.applyDelta({.version = 15, .endpoints = {recordOf("a")}}, {});
     list.applySnapshot({.version = 15, .endpoints = {recordOf("a")}});
-    BOOST_TEST(notes.told.empty());
+    BOOST_TEST(task.updates.empty());
     BOOST_TEST(list.version() == 20U);
 }
 
 BOOST_AUTO_TEST_CASE(peersList_unreadable_changesNothing)
 {
     list.applyPeerSnapshot("no list");
-    BOOST_TEST(notes.told.empty());
+    BOOST_TEST(task.updates.empty());
     BOOST_TEST(list.version() == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(document_afterARemoval_isWithoutIt)
+BOOST_AUTO_TEST_CASE(document_afterARemoval_omitsTheEndpoint)
 {
     list.applyDelta({.version = 11, .endpoints = {}}, std::array<std::string, 1>{"a"});
-    const auto told = routing::decodeSnapshot(list.encodedSnapshot());
-    BOOST_REQUIRE(told.has_value());
-    BOOST_TEST((told->endpoints == std::vector{recordOf("b")}));
-    BOOST_TEST(told->version == 11U);
+    const auto published = routing::decodeSnapshot(list.encodedSnapshot());
+    BOOST_REQUIRE(published.has_value());
+    BOOST_TEST((published->endpoints == std::vector{recordOf("b")}));
+    BOOST_TEST(published->version == 11U);
 }
 
-BOOST_AUTO_TEST_CASE(entries_missingAfterAnOutage_areGivenUpOnceTheyCouldBeBack)
+BOOST_AUTO_TEST_CASE(endpoints_missingAfterAnOutage_areRemovedAfterTheComeBackTime)
 {
-    EndpointList lapsed(loop.get(), notes, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    lapsed.applySnapshot({.version = 10, .endpoints = {recordOf("a")}});
-    lapsed.confirm(BootClock::now() - 5s);
-    notes.told.clear();
-    lapsed.applySnapshot({.version = 11, .endpoints = {}});
-    lapsed.confirm(BootClock::now());
-    BOOST_TEST(notes.told.empty());
-    BOOST_TEST(runUntil([this] { return !notes.told.empty(); }, 2000ms));
-    BOOST_TEST(notes.told == (Texts{"gone a"}), boost::test_tools::per_element());
+    EndpointList reconnected(loop.get(), task, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    reconnected.applySnapshot({.version = 10, .endpoints = {recordOf("a")}});
+    reconnected.confirm(BootClock::now() - 5s);
+    task.updates.clear();
+    reconnected.applySnapshot({.version = 11, .endpoints = {}});
+    reconnected.confirm(BootClock::now());
+    BOOST_TEST(task.updates.empty());
+    BOOST_TEST(runUntil([this] { return !task.updates.empty(); }, 2000ms));
+    BOOST_TEST(task.updates == (Updates{"gone a"}), boost::test_tools::per_element());
 }
 
-// Guards against an endpoint that has left being brought back by a peer that still keeps it after its own silence: the store
-// tells of each removal once, so nothing takes it away again.
-BOOST_AUTO_TEST_CASE(peersList_withEndpointThatThePeerOnlyKeeps_doesNotBringItBack)
+// An entry that had lost contact with the store retains missing endpoints for a while. Guards against a removed endpoint being added again from
+// such a peer's list: the store reports each removal once, so nothing would remove it a second time.
+BOOST_AUTO_TEST_CASE(peersList_withEndpointThatThePeerOnlyRetains_doesNotAddItAgain)
 {
-    EndpointList keeping(loop.get(), notes, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    keeping.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
-    keeping.confirm(BootClock::now() - 5s);
+    EndpointList retaining(loop.get(), task, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    retaining.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
+    retaining.confirm(BootClock::now() - 5s);
     list.applyDelta({.version = 15, .endpoints = {}}, std::array<std::string, 1>{"a"});
     list.confirm(BootClock::now());
-    keeping.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
-    keeping.confirm(BootClock::now());
-    notes.told.clear();
-    list.applyPeerSnapshot(keeping.encodedSnapshot());
+    retaining.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
+    retaining.confirm(BootClock::now());
+    task.updates.clear();
+    list.applyPeerSnapshot(retaining.encodedSnapshot());
     list.confirm(BootClock::now());
-    BOOST_TEST(!notes.wasTold("endpoint a"));
-    const auto told = routing::decodeSnapshot(list.encodedSnapshot());
-    BOOST_REQUIRE(told.has_value());
-    BOOST_TEST((told->endpoints == std::vector{recordOf("b")}));
+    BOOST_TEST(!task.hasReceived("endpoint a"));
+    const auto published = routing::decodeSnapshot(list.encodedSnapshot());
+    BOOST_REQUIRE(published.has_value());
+    BOOST_TEST((published->endpoints == std::vector{recordOf("b")}));
 }
 
-// Guards against the same endpoint being kept for good by an entry that keeps it for a while itself, once a peer's list has named it.
-BOOST_AUTO_TEST_CASE(peersList_withEndpointThatBothOnlyKeep_isStillGivenUp)
+// After an outage two entries retain the same removed endpoint for a while. Guards against one of them keeping it for ever because the other's list
+// contains it.
+BOOST_AUTO_TEST_CASE(peersList_withEndpointThatBothOnlyRetain_isStillRemoved)
 {
-    NotingTask own;
-    EndpointList keeping(loop.get(), notes, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    EndpointList lapsed(loop.get(), own, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    for (EndpointList *each : {&keeping, &lapsed}) {
+    RecordingTask otherTask;
+    EndpointList retaining(loop.get(), task, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    EndpointList reconnected(loop.get(), otherTask, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    for (EndpointList *each : {&retaining, &reconnected}) {
         each->applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
         each->confirm(BootClock::now() - 5s);
     }
-    lapsed.applyDelta({.version = 15, .endpoints = {}}, std::array<std::string, 1>{"a"});
-    lapsed.confirm(BootClock::now());
-    keeping.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
-    keeping.confirm(BootClock::now());
-    lapsed.applyPeerSnapshot(keeping.encodedSnapshot());
-    lapsed.confirm(BootClock::now());
-    BOOST_TEST(runUntil([&] { return own.wasTold("gone a"); }, 2000ms));
+    reconnected.applyDelta({.version = 15, .endpoints = {}}, std::array<std::string, 1>{"a"});
+    reconnected.confirm(BootClock::now());
+    retaining.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
+    retaining.confirm(BootClock::now());
+    reconnected.applyPeerSnapshot(retaining.encodedSnapshot());
+    reconnected.confirm(BootClock::now());
+    BOOST_TEST(runUntil([&] { return otherTask.hasReceived("gone a"); }, 2000ms));
 }
 
-// Guards against an entry that follows its peers alone never hearing that an endpoint which a peer kept for a while is gone: the peer gives it up without a new
-// version.
-BOOST_AUTO_TEST_CASE(peersList_endpointGivenUpByPeerLater_isGivenUpHereToo)
+// Guards against an entry that reads only its peers' lists never learning that a peer has removed an endpoint after retaining it for a while: the
+// peer's list gets no new version with that removal.
+BOOST_AUTO_TEST_CASE(peersList_retainedEndpointRemovedByThePeerLater_isRemovedHereToo)
 {
-    NotingTask own;
-    EndpointList follower(loop.get(), own, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    follower.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
-    follower.confirm(BootClock::now());
-    EndpointList keeping(loop.get(), notes, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
-    keeping.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
-    keeping.confirm(BootClock::now() - 5s);
-    keeping.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
-    keeping.confirm(BootClock::now());
-    const auto askPeer = [&] {
-        if (keeping.version() > follower.version()) {
-            follower.applyPeerSnapshot(keeping.encodedSnapshot());
+    RecordingTask otherTask;
+    EndpointList peerReader(loop.get(), otherTask, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    peerReader.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
+    peerReader.confirm(BootClock::now());
+    EndpointList retaining(loop.get(), task, {.renewalInterval = 1200ms, .recoveryTime = 100ms});
+    retaining.applySnapshot({.version = 10, .endpoints = {recordOf("a"), recordOf("b")}});
+    retaining.confirm(BootClock::now() - 5s);
+    retaining.applyDelta({.version = 20, .endpoints = {}}, std::array<std::string, 1>{"a"});
+    retaining.confirm(BootClock::now());
+    const auto pollPeer = [&] {
+        if (retaining.version() > peerReader.version()) {
+            peerReader.applyPeerSnapshot(retaining.encodedSnapshot());
         }
-        follower.confirm(BootClock::now());
+        peerReader.confirm(BootClock::now());
     };
-    askPeer();
-    notes.told.clear();
-    BOOST_REQUIRE(runUntil([&] { return notes.wasTold("gone a"); }, 2000ms));
-    askPeer();
-    BOOST_TEST(runUntil([&] { return own.wasTold("gone a"); }, 1000ms));
+    pollPeer();
+    task.updates.clear();
+    BOOST_REQUIRE(runUntil([&] { return task.hasReceived("gone a"); }, 2000ms));
+    pollPeer();
+    BOOST_TEST(runUntil([&] { return otherTask.hasReceived("gone a"); }, 1000ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
