--- a/apps/magnolia-agent/main.cpp
+++ b/apps/magnolia-agent/main.cpp
@@ -3,8 +3,8 @@
 #include "http/eventhandles.h"
 #include "observe/log.h"
 #include "settings/startup.h"
-#include "store/httpinstances.h"
-#include "store/httpobjects.h"
+#include "store/httpinstancelist.h"
+#include "store/httpobjectstore.h"
 #include "store/httptable.h"
 
 #include <csignal>
@@ -68,8 +68,8 @@
 {
     const http::EventBasePtr loop(event_base_new());
     store::HttpTable table(loop.get(), {.address = settings.platform.table});
-    store::HttpObjects objects(loop.get(), {.address = settings.platform.objects});
-    store::HttpInstances instances(loop.get(), {.address = settings.platform.instances});
+    store::HttpObjectStore objects(loop.get(), {.address = settings.platform.objects});
+    store::HttpInstanceList instances(loop.get(), {.address = settings.platform.instances});
     observe::Metrics metrics;
     observe::Tracer tracer(settings::tracerOptions(settings, "magnolia-agent"), seededRandom());
     const auto task = agent::AgentTask::start(
--- a/apps/magnolia-entry/main.cpp
+++ b/apps/magnolia-entry/main.cpp
@@ -2,8 +2,8 @@
 #include "entry/entrytask.h"
 #include "observe/log.h"
 #include "settings/startup.h"
-#include "store/httpinstances.h"
-#include "store/httpobjects.h"
+#include "store/httpinstancelist.h"
+#include "store/httpobjectstore.h"
 #include "store/httptable.h"
 
 #include <event2/event.h>
@@ -86,8 +86,8 @@
 {
     const std::unique_ptr<event_base, FreeLoop> loop(event_base_new());
     store::HttpTable table(loop.get(), {.address = settings.platform.table});
-    store::HttpObjects objects(loop.get(), {.address = settings.platform.objects});
-    store::HttpInstances instances(loop.get(), {.address = settings.platform.instances});
+    store::HttpObjectStore objects(loop.get(), {.address = settings.platform.objects});
+    store::HttpInstanceList instances(loop.get(), {.address = settings.platform.instances});
     observe::Metrics metrics;
     observe::Tracer tracer(settings::tracerOptions(settings, "magnolia-entry"), seededRandom());
     auto task = entry::EntryTask::start(
--- a/apps/magnoliactl/main.cpp
+++ b/apps/magnoliactl/main.cpp
@@ -6,8 +6,8 @@
 #include "deploymentreader.h"
 #include "http/eventhandles.h"
 #include "settings/startup.h"
-#include "store/httpinstances.h"
-#include "store/httpobjects.h"
+#include "store/httpinstancelist.h"
+#include "store/httpobjectstore.h"
 #include "store/httptable.h"
 
 #include <csignal>
@@ -45,8 +45,8 @@
         return explain(line, daemons, output);
     }
     store::HttpTable table(loop.get(), {.address = settings->platform.table});
-    store::HttpObjects objects(loop.get(), {.address = settings->platform.objects});
-    store::HttpInstances instances(loop.get(), {.address = settings->platform.instances});
+    store::HttpObjectStore objects(loop.get(), {.address = settings->platform.objects});
+    store::HttpInstanceList instances(loop.get(), {.address = settings->platform.instances});
     PlatformCommands commands(loop.get(), table, objects, instances, daemons, output);
     if (line.command == "apply") {
         return commands.apply(line, seededRandom());
--- a/libs/agent/tests/agentfixture.h
+++ b/libs/agent/tests/agentfixture.h
@@ -188,7 +188,7 @@
         }
         manifest::HeadRow head;
         head.head = {.version = 1, .root = chunks.root, .applyId = "apply"};
-        table.force(std::string(manifest::HeadRowKey), head.encode());
+        table.overwrite(std::string(manifest::HeadRowKey), head.encode());
     }
 
     AgentOptions options(const std::string &linkAddress) const
--- a/libs/ctl/include/ctl/platformcommands.h
+++ b/libs/ctl/include/ctl/platformcommands.h
@@ -93,7 +93,7 @@
             return std::nullopt;
         }
         for (const store::Instance &instance : *list) {
-            daemons_.add(instance.operators);
+            daemons_.add(instance.operatorsAddress);
         }
         return std::move(*list);
     }
--- a/libs/ctl/tests/ctltest.cpp
+++ b/libs/ctl/tests/ctltest.cpp
@@ -274,7 +274,7 @@
     FakeDaemon third(loop.get(), "agent-x");
     third.version = first.version = second.version = 1;
     platform.instances = {listed("agent-x")};
-    platform.instances[0].operators = third.server->address();
+    platform.instances[0].operatorsAddress = third.server->address();
     BOOST_TEST(apply({"apply", "-s", "s", "--wait", Example}) == 0);
     BOOST_TEST(out.str().find("all 3 daemons") != std::string::npos, out.str());
 }
--- a/libs/group/tests/coordinatortermtest.cpp
+++ b/libs/group/tests/coordinatortermtest.cpp
@@ -19,16 +19,16 @@
 // Guards against a term that was given before the store returned from an older copy being given again.
 BOOST_AUTO_TEST_CASE(successor_inALaterEra_hasAHigherTermThanAllBefore)
 {
-    const CoordinatorRow before{.term = 900, .holder = "a", .version = store::versionAcrossEras(1, 40)};
-    const CoordinatorRow older{.term = 3, .holder = "a", .version = store::versionAcrossEras(2, 4)};
+    const CoordinatorRow before{.term = 900, .holder = "a", .version = store::combinedVersion(1, 40)};
+    const CoordinatorRow older{.term = 3, .holder = "a", .version = store::combinedVersion(2, 4)};
     BOOST_TEST(successorOf(older, 0, "b").term > successorOf(before, 0, "b").term);
 }
 
 BOOST_AUTO_TEST_CASE(write_answeredInAnotherEra_isOfAnotherHistory)
 {
-    const CoordinatorRow read{.term = 7, .holder = "a", .version = store::versionAcrossEras(1, 40)};
-    BOOST_TEST(isOfSameHistory(read, store::versionAcrossEras(1, 41)));
-    BOOST_TEST(!isOfSameHistory(read, store::versionAcrossEras(2, 41)));
+    const CoordinatorRow read{.term = 7, .holder = "a", .version = store::combinedVersion(1, 40)};
+    BOOST_TEST(isOfSameHistory(read, store::combinedVersion(1, 41)));
+    BOOST_TEST(!isOfSameHistory(read, store::combinedVersion(2, 41)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/store/include/store/httpinstances.h
+++ b/libs/store/include/store/httpinstancelist.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_STORE_HTTPINSTANCES_H
-#define MAGNOLIA_STORE_HTTPINSTANCES_H
+#ifndef MAGNOLIA_STORE_HTTPINSTANCELIST_H
+#define MAGNOLIA_STORE_HTTPINSTANCELIST_H
 
 #include "base/clock.h"
 #include "store/instancelist.h"
@@ -18,7 +18,7 @@
  * An entry of the list that makes no sense is left out, so that one bad registration doesn't hide all the others. Lives
  * on one event loop; destroying it abandons its calls without calling back. Models InstanceList.
  */
-class HttpInstances
+class HttpInstanceList
 {
 public:
     struct Options {
@@ -26,10 +26,10 @@
         Duration timeout{2000}; ///< For each call.
     };
 
-    HttpInstances(event_base *loop, const Options &options);
-    ~HttpInstances();
-    HttpInstances(const HttpInstances &) = delete;
-    HttpInstances &operator=(const HttpInstances &) = delete;
+    HttpInstanceList(event_base *loop, const Options &options);
+    ~HttpInstanceList();
+    HttpInstanceList(const HttpInstanceList &) = delete;
+    HttpInstanceList &operator=(const HttpInstanceList &) = delete;
 
     void fetch(InstancesCallback done);
 
@@ -38,7 +38,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-static_assert(InstanceList<HttpInstances>);
+static_assert(InstanceList<HttpInstanceList>);
 
 } // namespace magnolia::store
 
--- a/libs/store/include/store/httpobjects.h
+++ b/libs/store/include/store/httpobjectstore.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_STORE_HTTPOBJECTS_H
-#define MAGNOLIA_STORE_HTTPOBJECTS_H
+#ifndef MAGNOLIA_STORE_HTTPOBJECTSTORE_H
+#define MAGNOLIA_STORE_HTTPOBJECTSTORE_H
 
 #include "base/clock.h"
 #include "store/tablestore.h"
@@ -18,7 +18,7 @@
  *
  * Lives on one event loop; destroying it abandons its calls without calling back. Models ObjectStore.
  */
-class HttpObjects
+class HttpObjectStore
 {
 public:
     struct Options {
@@ -27,10 +27,10 @@
         std::size_t maxObjectBytes = 16U << 20U;
     };
 
-    HttpObjects(event_base *loop, const Options &options);
-    ~HttpObjects();
-    HttpObjects(const HttpObjects &) = delete;
-    HttpObjects &operator=(const HttpObjects &) = delete;
+    HttpObjectStore(event_base *loop, const Options &options);
+    ~HttpObjectStore();
+    HttpObjectStore(const HttpObjectStore &) = delete;
+    HttpObjectStore &operator=(const HttpObjectStore &) = delete;
 
     void put(const std::string &name, std::string data, PutCallback done);
     void get(const std::string &name, GetCallback done);
@@ -40,7 +40,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-static_assert(ObjectStore<HttpObjects>);
+static_assert(ObjectStore<HttpObjectStore>);
 
 } // namespace magnolia::store
 
--- a/libs/store/include/store/instancelist.h
+++ b/libs/store/include/store/instancelist.h
@@ -20,7 +20,7 @@
     std::string address; ///< "IP:PORT" where it accepts links.
     std::string dataCentre;
     bool leaving = false;
-    std::string operators{}; ///< "IP:PORT" of its operators' address; empty if the list does not tell.
+    std::string operatorsAddress{}; ///< "IP:PORT" of its operators' address; empty if the list does not tell.
 };
 
 using InstancesCallback = std::function<void(Result<std::vector<Instance>>)>;
--- a/libs/store/include/store/storeversion.h
+++ b/libs/store/include/store/storeversion.h
@@ -10,19 +10,19 @@
 constexpr unsigned VersionBits = 40;
 
 /** @param version in that era. */
-constexpr std::uint64_t versionAcrossEras(std::uint64_t era, std::uint64_t version)
+constexpr std::uint64_t combinedVersion(std::uint64_t era, std::uint64_t version)
 {
     return (era << VersionBits) + version;
 }
 
-constexpr std::uint64_t eraOf(std::uint64_t versionAcrossEras)
+constexpr std::uint64_t eraOf(std::uint64_t combinedVersion)
 {
-    return versionAcrossEras >> VersionBits;
+    return combinedVersion >> VersionBits;
 }
 
-constexpr std::uint64_t versionInEra(std::uint64_t versionAcrossEras)
+constexpr std::uint64_t versionInEra(std::uint64_t combinedVersion)
 {
-    return versionAcrossEras & ((std::uint64_t(1) << VersionBits) - 1);
+    return combinedVersion & ((std::uint64_t(1) << VersionBits) - 1);
 }
 
 } // namespace magnolia::store
--- a/libs/store/include/store/testing/memorytable.h
+++ b/libs/store/include/store/testing/memorytable.h
@@ -89,7 +89,7 @@
     }
 
     /** Writes past all faults, as a rival does. */
-    void force(const std::string &key, std::string value)
+    void overwrite(const std::string &key, std::string value)
     {
         rows_[key] = {.value = std::move(value), .revision = ++lastRevision_};
     }
@@ -193,7 +193,7 @@
         const std::optional<Row> present = peek(write.key);
         const bool holds = (present ? present->revision : NoRow) == write.ifRevision;
         if (holds && write.value) {
-            force(write.key, *write.value);
+            overwrite(write.key, *write.value);
         } else if (holds) {
             rows_.erase(write.key);
         }
--- a/libs/store/src/httpinstances.cpp
+++ b/libs/store/src/httpinstancelist.cpp
@@ -1,4 +1,4 @@
-#include "store/httpinstances.h"
+#include "store/httpinstancelist.h"
 
 #include "http/httpclient.h"
 #include "replyreader.h"
@@ -24,7 +24,7 @@
             .address = fields.at("address").get<std::string>(),
             .dataCentre = fields.value("data_centre", ""),
             .leaving = fields.value("leaving", false),
-            .operators = fields.value("operators", ""),
+            .operatorsAddress = fields.value("operators", ""),
         };
     } catch (const Json::exception &) {
         return std::nullopt;
@@ -58,7 +58,7 @@
 
 } // namespace
 
-class HttpInstances::Impl
+class HttpInstanceList::Impl
 {
 public:
     Impl(event_base *loop, const Options &options) : timeout(options.timeout), client(loop, {.address = options.address}) {}
@@ -67,11 +67,11 @@
     http::HttpClient client;
 };
 
-HttpInstances::HttpInstances(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
+HttpInstanceList::HttpInstanceList(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
 
-HttpInstances::~HttpInstances() = default;
+HttpInstanceList::~HttpInstanceList() = default;
 
-void HttpInstances::fetch(InstancesCallback done)
+void HttpInstanceList::fetch(InstancesCallback done)
 {
     impl_->client.send({.method = "GET", .path = "/instances", .timeout = impl_->timeout},
                        [done = std::move(done)](const Result<http::Response> &response) { done(instancesOf(response)); });
--- a/libs/store/src/httpobjects.cpp
+++ b/libs/store/src/httpobjectstore.cpp
@@ -1,4 +1,4 @@
-#include "store/httpobjects.h"
+#include "store/httpobjectstore.h"
 
 #include "http/httpclient.h"
 #include "replyreader.h"
@@ -47,7 +47,7 @@
 
 } // namespace
 
-class HttpObjects::Impl
+class HttpObjectStore::Impl
 {
 public:
     Impl(event_base *loop, const Options &options)
@@ -59,17 +59,17 @@
     http::HttpClient client;
 };
 
-HttpObjects::HttpObjects(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
+HttpObjectStore::HttpObjectStore(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
 
-HttpObjects::~HttpObjects() = default;
+HttpObjectStore::~HttpObjectStore() = default;
 
-void HttpObjects::put(const std::string &name, std::string data, PutCallback done)
+void HttpObjectStore::put(const std::string &name, std::string data, PutCallback done)
 {
     http::HttpClient::Request request{.method = "PUT", .path = objectPath(name), .body = std::move(data), .timeout = impl_->timeout};
     impl_->client.send(std::move(request), [done = std::move(done)](const Result<http::Response> &response) { done(storedOf(response)); });
 }
 
-void HttpObjects::get(const std::string &name, GetCallback done)
+void HttpObjectStore::get(const std::string &name, GetCallback done)
 {
     impl_->client.send({.method = "GET", .path = objectPath(name), .timeout = impl_->timeout},
                        [done = std::move(done)](Result<http::Response> response) { done(objectOf(std::move(response))); });
--- a/libs/store/tests/memorytabletest.cpp
+++ b/libs/store/tests/memorytabletest.cpp
@@ -65,7 +65,7 @@
     table.insert("k", "a", keep());
     table.deliver();
     BOOST_TEST(!outcome.has_value());
-    table.force("k", "rival");
+    table.overwrite("k", "rival");
     table.releaseHeld();
     BOOST_REQUIRE(outcome && *outcome);
     BOOST_TEST(!(*outcome)->applied);
--- a/libs/store/tests/platformclientstest.cpp
+++ b/libs/store/tests/platformclientstest.cpp
@@ -2,8 +2,8 @@
 #include "http/httpserver.h"
 #include "platformservice.h"
 #include "relay.h"
-#include "store/httpinstances.h"
-#include "store/httpobjects.h"
+#include "store/httpinstancelist.h"
+#include "store/httpobjectstore.h"
 #include "store/httptable.h"
 
 #include <boost/test/unit_test.hpp>
@@ -94,8 +94,8 @@
 
     LoopFixture &fixture;
     HttpTable table;
-    HttpObjects objects;
-    HttpInstances instances;
+    HttpObjectStore objects;
+    HttpInstanceList instances;
 };
 
 struct PlatformFixture : LoopFixture {
