--- a/libs/store/include/store/httpinstancelist.h
+++ b/libs/store/include/store/httpinstancelist.h
@@ -13,17 +13,17 @@
 {
 
 /**
- * The platform's list of instances over HTTP.
+ * HTTP client of the platform's list of instances. Models InstanceList.
  *
- * An entry of the list that makes no sense is left out, so that one bad registration doesn't hide all the others. Lives
- * on one event loop; destroying it abandons its calls without calling back. Models InstanceList.
+ * An invalid element of the list is left out, so that one bad registration does not hide the others. Not thread-safe: all
+ * calls are made on the event loop. Destruction cancels outstanding calls without calling back.
  */
 class HttpInstanceList
 {
 public:
     struct Options {
         std::string address{}; ///< "IP:PORT"
-        Duration timeout{2000}; ///< For each call.
+        Duration timeout{2000}; ///< Timeout of each call.
     };
 
     HttpInstanceList(event_base *loop, const Options &options);
--- a/libs/store/include/store/httpobjectstore.h
+++ b/libs/store/include/store/httpobjectstore.h
@@ -14,16 +14,16 @@
 {
 
 /**
- * The platform's object store over HTTP.
+ * HTTP client of the platform's object store. Models ObjectStore.
  *
- * Lives on one event loop; destroying it abandons its calls without calling back. Models ObjectStore.
+ * Not thread-safe: all calls are made on the event loop. Destruction cancels outstanding calls without calling back.
  */
 class HttpObjectStore
 {
 public:
     struct Options {
         std::string address{}; ///< "IP:PORT"
-        Duration timeout{5000}; ///< For each call.
+        Duration timeout{5000}; ///< Timeout of each call.
         std::size_t maxObjectBytes = 16U << 20U;
     };
 
--- a/libs/store/include/store/httptable.h
+++ b/libs/store/include/store/httptable.h
@@ -14,12 +14,13 @@
 {
 
 /**
- * The platform's table service over HTTP.
+ * HTTP client of the platform's table service. Models TableStore.
  *
- * Inserts of the same few milliseconds travel as one transaction, each judged on its own, as the service takes only
- * some hundreds of writes a second. Nothing is ever sent twice: a write whose reply was lost fails with MayHaveRun, and
- * whoever made it reads the row back. A connection that fell silent is noticed by the timeout, and the next call dials
- * afresh. Lives on one event loop; destroying it abandons its calls without calling back. Models TableStore.
+ * Inserts made within a few milliseconds are batched into one transaction, as the service takes only some hundreds of writes
+ * a second; each insert still succeeds or fails on its own. No write is ever repeated: if its reply is lost, it fails with
+ * MayHaveRun, and the caller has to read the row back. A dead connection is detected by the timeout, and the next call opens
+ * a new one. Not thread-safe: all calls are made on the event loop. Destruction cancels outstanding calls without calling
+ * back.
  *
  * @code
  * HttpTable table(loop, {.address = "127.0.0.1:9000"});
@@ -31,9 +32,9 @@
 public:
     struct Options {
         std::string address{}; ///< "IP:PORT"
-        Duration timeout{2000}; ///< For each call.
-        Duration batchDelay{2}; ///< How long an insert waits for others; 0: none waits.
-        std::size_t maxBatch = 64; ///< A batch of so many is sent at once.
+        Duration timeout{2000}; ///< Timeout of each call.
+        Duration batchDelay{2}; ///< How long an insert waits for others to join its batch; 0 disables the wait.
+        std::size_t maxBatch = 64; ///< A batch of this size is sent without further delay.
     };
 
     HttpTable(event_base *loop, Options options);
--- a/libs/store/include/store/instancelist.h
+++ b/libs/store/include/store/instancelist.h
@@ -11,16 +11,18 @@
 {
 
 /**
- * An instance as the platform's list shows it; the list lags by up to half a minute, so this is discovery, not liveness.
+ * An instance in the platform's list.
+ *
+ * The list lags by up to half a minute, so it serves discovery, not liveness checks.
  */
 struct Instance {
     std::string name;
     std::string role; ///< "entry" or "agent"
-    std::string endpoint; ///< The manifest's name of the endpoint that the agent stands beside; empty for an entry.
+    std::string endpoint; ///< Name in the manifest of the endpoint that the agent serves; empty for an entry.
     std::string address; ///< "IP:PORT" where it accepts links.
     std::string dataCentre;
     bool leaving = false;
-    std::string operatorsAddress{}; ///< "IP:PORT" of its operators' address; empty if the list does not tell.
+    std::string operatorsAddress{}; ///< "IP:PORT" of the operators' API; empty if the list does not hold it.
 };
 
 using InstancesCallback = std::function<void(Result<std::vector<Instance>>)>;
--- a/libs/store/include/store/rowwriter.h
+++ b/libs/store/include/store/rowwriter.h
@@ -18,34 +18,34 @@
 namespace magnolia::store
 {
 
-/** A row to be written, or removed. */
+/** A row to be written or removed. */
 struct RowChange {
     std::string key;
-    std::optional<std::string> value; ///< Nothing: the row is removed.
+    std::optional<std::string> value; ///< nullopt removes the row.
 };
 
-using RowsWritten = std::function<void(Result<void>)>;
+using WriteRowsCallback = std::function<void(Result<void>)>;
 
-/** A table whose rows may be written without a condition. Calls back exactly once, on the loop's thread, never from within the call. */
+/** A table with unconditional writes. A write calls back exactly once, on the loop's thread, and never from within the call. */
 template<typename T>
-concept WritableTable = requires(T &table, const std::vector<RowChange> &changes, RowsWritten done)
+concept WritableTable = requires(T &table, const std::vector<RowChange> &changes, WriteRowsCallback done)
 {
     table.write(changes, done);
 };
 
 struct RowWriterOptions {
-    std::string name{}; ///< Of the table, for logs.
-    Duration gathering{20}; ///< Changes of so long go in one call.
+    std::string name{}; ///< Name of the table in logs.
+    Duration batchDelay{20}; ///< How long a change waits for others to join its batch.
     Duration retryInterval{250};
-    std::size_t mostInCall = 100;
-    std::size_t mostPending = 2000; ///< Beyond that changes are dropped, and logged.
+    std::size_t maxBatch = 100;
+    std::size_t maxPending = 2000; ///< Changes beyond this are dropped and logged.
 };
 
 /**
- * Writes rows as soon as the store takes them.
+ * Writes rows to a store in the background and retries until the store has acknowledged them.
  *
- * A change stays until the store has acknowledged it; a later one of the same row replaces it. What may have been written
- * is written again, so rows must bear that. Lives on one event loop. T models WritableTable and outlives it.
+ * A change of a row replaces a pending one of the same row. A write whose outcome is unknown is repeated, so writes must be
+ * idempotent. Not thread-safe: all calls are made on the event loop. T models WritableTable and must outlive the writer.
  *
  * @code
  * RowWriter writer(loop, table, {.name = "crashes"});
@@ -63,67 +63,67 @@
 
     void put(const std::string &key, std::string value)
     {
-        change(key, std::move(value));
+        enqueue(key, std::move(value));
     }
 
     void remove(const std::string &key)
     {
-        change(key, std::nullopt);
+        enqueue(key, std::nullopt);
     }
 
 private:
     using Changes = std::map<std::string, std::optional<std::string>>;
 
-    void change(const std::string &key, std::optional<std::string> value)
+    void enqueue(const std::string &key, std::optional<std::string> value)
     {
-        if (pending_.size() >= options_.mostPending && !pending_.contains(key)) {
-            observe::logger("store")->error("A change is dropped, too many wait table={} key={}", options_.name, key);
+        if (pending_.size() >= options_.maxPending && !pending_.contains(key)) {
+            observe::logger("store")->error("Too many pending changes, dropping one table={} key={}", options_.name, key);
             return;
         }
         pending_.insert_or_assign(key, std::move(value));
-        if (!isWaiting_ && inFlight_.empty()) {
-            startTimer(options_.gathering);
+        if (!isFlushScheduled_ && inFlight_.empty()) {
+            scheduleFlush(options_.batchDelay);
         }
     }
 
-    void startTimer(Duration delay)
+    void scheduleFlush(Duration delay)
     {
-        isWaiting_ = true;
+        isFlushScheduled_ = true;
         timer_.start(delay);
     }
 
     void flush()
     {
-        isWaiting_ = false;
+        isFlushScheduled_ = false;
         std::vector<RowChange> changes;
-        while (!pending_.empty() && changes.size() < options_.mostInCall) {
+        while (!pending_.empty() && changes.size() < options_.maxBatch) {
             auto node = pending_.extract(pending_.begin());
             changes.push_back({.key = node.key(), .value = node.mapped()});
             inFlight_.insert(std::move(node));
         }
-        table_.write(changes, [this, alive = std::weak_ptr<bool>(alive_)](const Result<void> &done) {
+        table_.write(changes, [this, alive = std::weak_ptr<bool>(alive_)](const Result<void> &result) {
             if (!alive.expired()) {
-                written(done);
+                onWritten(result);
             }
         });
     }
 
-    void written(const Result<void> &done)
+    void onWritten(const Result<void> &result)
     {
         Changes sent = std::exchange(inFlight_, {});
-        if (!done) {
+        if (!result) {
             if (!std::exchange(isFailing_, true)) {
-                observe::logger("store")->warn("Not written, it is tried again table={} rows={} cause={}", options_.name, sent.size(), done.error().detail);
+                observe::logger("store")->warn("Write failed, retrying table={} rows={} cause={}", options_.name, sent.size(), result.error().detail);
             }
-            pending_.merge(sent); // Later changes of the same rows stand.
-            startTimer(options_.retryInterval);
+            pending_.merge(sent); // Keeps later changes of the same rows: merge() does not overwrite.
+            scheduleFlush(options_.retryInterval);
             return;
         }
         if (std::exchange(isFailing_, false)) {
-            observe::logger("store")->info("Written again table={} rows={}", options_.name, sent.size());
+            observe::logger("store")->info("Writes succeed again table={} rows={}", options_.name, sent.size());
         }
         if (!pending_.empty()) {
-            startTimer(options_.gathering);
+            scheduleFlush(options_.batchDelay);
         }
     }
 
@@ -132,7 +132,7 @@
     http::Timer timer_;
     Changes pending_;
     Changes inFlight_;
-    bool isWaiting_ = false; ///< For the next call.
+    bool isFlushScheduled_ = false;
     bool isFailing_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/libs/store/include/store/storeclock.h
+++ b/libs/store/include/store/storeclock.h
@@ -10,34 +10,34 @@
 {
 
 /**
- * Tells when a store gave an answer, by this process's own clock.
+ * Maps the store's clock readings to this process's clock, to estimate when the store gave an answer.
  *
- * An answer to a long poll may have been given at its begin or its end; its own steady clock tells which. The bound used
- * is on the safe side: the answer was given no sooner than the time returned. A value type.
+ * The store may answer a long poll at its start or at its end; the clock reading in the answer tells which. The estimate is
+ * conservative: the store answered no earlier than the time returned. A value type.
  *
  * @code
- * const BootTime asOf = clock.answered(sentAt, storeTime, receivedAt);
+ * const BootTime asOf = clock.estimateAnswerTime(sentAt, storeTime, receivedAt);
  * @endcode
  */
 class StoreClock
 {
 public:
-    BootTime answered(BootTime sentAt, Duration storeTime, BootTime receivedAt)
+    BootTime estimateAnswerTime(BootTime sentAt, Duration storeTime, BootTime receivedAt)
     {
-        // The store answered after the question was sent, so its clock's zero is at this or later.
-        const BootTime zero = sentAt - storeTime;
-        zero_ = zero_ ? std::max(*zero_, zero) : zero;
-        const BootTime at = *zero_ + storeTime;
-        if (at > receivedAt) {
-            // The store's clock did not run steadily (it was replaced): what was learnt of it holds no more.
-            zero_ = zero;
+        // The store answered after the request was sent, so its clock read zero at this time or later.
+        const BootTime zeroBound = sentAt - storeTime;
+        zeroLowerBound_ = zeroLowerBound_ ? std::max(*zeroLowerBound_, zeroBound) : zeroBound;
+        const BootTime answeredAt = *zeroLowerBound_ + storeTime;
+        if (answeredAt > receivedAt) {
+            // The store's clock has jumped ahead, as when the store was replaced: earlier bounds no longer hold.
+            zeroLowerBound_ = zeroBound;
             return sentAt;
         }
-        return std::max(at, sentAt);
+        return std::max(answeredAt, sentAt);
     }
 
 private:
-    std::optional<BootTime> zero_; ///< Latest lower bound of when the store's clock stood at 0.
+    std::optional<BootTime> zeroLowerBound_; ///< Highest lower bound so far of the time at which the store's clock read 0.
 };
 
 } // namespace magnolia::store
--- a/libs/store/include/store/storeversion.h
+++ b/libs/store/include/store/storeversion.h
@@ -6,10 +6,11 @@
 namespace magnolia::store
 {
 
-// A store that returns from an older copy gives versions out again, and counts such returns as its era. One number of both compares across them.
-constexpr unsigned VersionBits = 40;
+// A store restored from a backup assigns versions again that it had assigned before; it counts its restores as its era. A combined version holds the era in
+// its high bits, so that combined versions compare in order across restores.
+constexpr unsigned VersionBits = 40; ///< Low bits of a combined version, which hold the version within the era.
 
-/** @param version in that era. */
+/** @param version version within the era. */
 constexpr std::uint64_t combinedVersion(std::uint64_t era, std::uint64_t version)
 {
     return (era << VersionBits) + version;
--- a/libs/store/include/store/tablestore.h
+++ b/libs/store/include/store/tablestore.h
@@ -21,7 +21,7 @@
 
 /** The outcome of a conditional write whose reply arrived. */
 struct WriteOutcome {
-    bool applied = false; ///< False: the condition did not hold; current is what stands there.
+    bool applied = false; ///< If false, the condition was not met, and `current` is the present row.
     std::optional<Row> current;
 };
 
@@ -30,24 +30,26 @@
 using RowsCallback = std::function<void(Result<std::map<std::string, Row>>)>;
 
 /**
- * A transactional table. Calls are asynchronous and call back exactly once, on the loop's thread, never from within the
- * call. A failed write carries MayHaveRun if its reply was lost: it may have taken effect, or may still.
+ * A transactional table with conditional writes.
+ *
+ * Calls are asynchronous. Each calls back exactly once, on the loop's thread, and never from within the call. A write whose
+ * reply was lost fails with MayHaveRun: it may have taken effect, or may take effect later.
  */
 template<typename T>
 concept TableStore =
     requires(T &store, const std::string &key, std::string value, std::uint64_t revision, ReadCallback onRead, WriteCallback onWrite, RowsCallback onRows)
 {
     store.read(key, onRead);
-    store.insert(key, value, onWrite); ///< If absent.
-    store.replace(key, revision, value, onWrite); ///< If still at this revision.
-    store.remove(key, revision, onWrite); ///< If still at this revision.
-    store.list(key, onRows); ///< All rows whose key begins so.
+    store.insert(key, value, onWrite); ///< Applied if the row is absent.
+    store.replace(key, revision, value, onWrite); ///< Applied if the row is at this revision.
+    store.remove(key, revision, onWrite); ///< Applied if the row is at this revision.
+    store.list(key, onRows); ///< Reads all rows whose key has this prefix.
 };
 
 using PutCallback = std::function<void(Result<void>)>;
 using GetCallback = std::function<void(Result<std::optional<std::string>>)>;
 
-/** An object store; objects are never changed once written, as their names are content hashes. */
+/** A store of immutable objects, named by their content hashes. */
 template<typename T>
 concept ObjectStore = requires(T &store, const std::string &name, std::string data, PutCallback onPut, GetCallback onGet)
 {
--- a/libs/store/include/store/testing/memorytable.h
+++ b/libs/store/include/store/testing/memorytable.h
@@ -16,42 +16,41 @@
 {
 
 /**
- * A table in memory, for tests of decisions that meet its faults in a chosen order.
+ * In-memory table with injectable faults, for tests. Models TableStore.
  *
- * A call only queues; its effect and its callback come in deliver(). So a test says when each message arrives. Models
- * TableStore.
+ * A call is only queued; deliver() applies it and calls back, so a test controls when each message arrives.
  *
  * @code
  * MemoryTable table;
  * table.failNextWrite(MemoryTable::Fault::LoseReply);
  * table.insert("claim/a", "mine", callback);
- * table.deliver(); // The row is there; the callback got MayHaveRun.
+ * table.deliver(); // The row exists; the callback received MayHaveRun.
  * @endcode
  */
 class MemoryTable
 {
 public:
     enum class Fault {
-        LoseReply, ///< The write takes effect; the caller gets MayHaveRun.
-        LoseRequest, ///< No effect; the caller gets the very same MayHaveRun.
-        DelayEffect, ///< The caller gets MayHaveRun; the write takes effect later, in releaseHeld().
-        Hold, ///< Neither effect nor callback before releaseHeld().
+        LoseReply, ///< The write takes effect, but the caller receives MayHaveRun.
+        LoseRequest, ///< The write has no effect; the caller receives the same MayHaveRun.
+        DelayEffect, ///< The caller receives MayHaveRun; the write takes effect in releaseHeld().
+        Hold, ///< The write takes effect and calls back in releaseHeld().
     };
 
-    /** The next write that is delivered fails so; further ones queue up behind. */
+    /** Injects a fault into the next write delivered; faults of several calls apply to successive writes. */
     void failNextWrite(Fault fault)
     {
         faults_.push_back(fault);
     }
 
-    /** While down, calls fail as Unavailable. @param verdict NotRun as for a refused connection, or MayHaveRun. */
+    /** While the table is down, calls fail with Unavailable. @param verdict NotRun, as for a refused connection, or MayHaveRun. */
     void setDown(bool isDown, Verdict verdict = Verdict::NotRun)
     {
         isDown_ = isDown;
         downVerdict_ = verdict;
     }
 
-    /** Delivers the calls queued so far, and those that their callbacks make. @return how many there were. */
+    /** Delivers queued calls, including those made by their callbacks, until none is left. @return the number of calls delivered. */
     std::size_t deliver()
     {
         std::size_t count = 0;
@@ -61,7 +60,7 @@
         return count;
     }
 
-    /** Delivers the oldest call. @return false if there is none. */
+    /** Delivers the oldest queued call. @return false if there is none. */
     bool deliverOne()
     {
         if (queue_.empty()) {
@@ -73,7 +72,7 @@
         return true;
     }
 
-    /** Lets held calls and delayed effects happen, oldest first. */
+    /** Applies held calls and delayed effects, oldest first. */
     void releaseHeld()
     {
         for (const std::function<void()> &call : std::exchange(held_, {})) {
@@ -81,14 +80,14 @@
         }
     }
 
-    /** What stands there, past all faults. */
+    /** Reads a row directly, bypassing the queue and faults. */
     std::optional<Row> peek(const std::string &key) const
     {
         const auto found = rows_.find(key);
         return found == rows_.end() ? std::nullopt : std::optional<Row>(found->second);
     }
 
-    /** Writes past all faults, as a rival does. */
+    /** Writes a row directly, bypassing the queue and faults, as a concurrent writer. */
     void overwrite(const std::string &key, std::string value)
     {
         rows_[key] = {.value = std::move(value), .revision = ++lastRevision_};
@@ -130,7 +129,7 @@
     struct Write {
         std::string key;
         std::uint64_t ifRevision = NoRow;
-        std::optional<std::string> value; ///< Nothing: a removal.
+        std::optional<std::string> value; ///< nullopt removes the row.
         WriteCallback done;
     };
 
@@ -190,14 +189,14 @@
 
     WriteOutcome apply(const Write &write)
     {
-        const std::optional<Row> present = peek(write.key);
-        const bool holds = (present ? present->revision : NoRow) == write.ifRevision;
-        if (holds && write.value) {
+        const std::optional<Row> current = peek(write.key);
+        const bool isConditionMet = (current ? current->revision : NoRow) == write.ifRevision;
+        if (isConditionMet && write.value) {
             overwrite(write.key, *write.value);
-        } else if (holds) {
+        } else if (isConditionMet) {
             rows_.erase(write.key);
         }
-        return {.applied = holds, .current = peek(write.key)};
+        return {.applied = isConditionMet, .current = peek(write.key)};
     }
 
     std::map<std::string, Row> rows_;
--- a/libs/store/src/httpinstancelist.cpp
+++ b/libs/store/src/httpinstancelist.cpp
@@ -14,7 +14,7 @@
 
 constexpr int StatusOk = 200;
 
-std::optional<Instance> instanceOf(const Json &fields)
+std::optional<Instance> parseInstance(const Json &fields)
 {
     try {
         return Instance{
@@ -31,13 +31,13 @@
     }
 }
 
-Result<std::vector<Instance>> instancesOf(const Result<http::Response> &response)
+Result<std::vector<Instance>> parseInstancesResponse(const Result<http::Response> &response)
 {
     if (!response) {
         return tl::unexpected<Failure>(response.error());
     }
     if (response->status != StatusOk) {
-        return tl::unexpected<Failure>(unexpectedAnswer(*response));
+        return tl::unexpected<Failure>(unexpectedStatus(*response));
     }
     const auto fields = readObject(response->body);
     if (!fields) {
@@ -45,11 +45,11 @@
     }
     const auto found = fields->find("instances");
     if (found == fields->end() || !found->is_array()) {
-        return tl::unexpected<Failure>(malformedAnswer());
+        return tl::unexpected<Failure>(malformedBody());
     }
     std::vector<Instance> instances;
     for (const Json &entry : *found) {
-        if (auto instance = instanceOf(entry)) {
+        if (auto instance = parseInstance(entry)) {
             instances.push_back(std::move(*instance));
         }
     }
@@ -74,7 +74,7 @@
 void HttpInstanceList::fetch(InstancesCallback done)
 {
     impl_->client.send({.method = "GET", .path = "/instances", .timeout = impl_->timeout},
-                       [done = std::move(done)](const Result<http::Response> &response) { done(instancesOf(response)); });
+                       [done = std::move(done)](const Result<http::Response> &response) { done(parseInstancesResponse(response)); });
 }
 
 } // namespace magnolia::store
--- a/libs/store/src/httpobjectstore.cpp
+++ b/libs/store/src/httpobjectstore.cpp
@@ -20,7 +20,7 @@
     return "/objects/" + percentEncoded(name);
 }
 
-Result<std::optional<std::string>> objectOf(Result<http::Response> response)
+Result<std::optional<std::string>> parseGetResponse(Result<http::Response> response)
 {
     if (!response) {
         return tl::unexpected<Failure>(response.error());
@@ -29,18 +29,18 @@
         return std::nullopt;
     }
     if (response->status != StatusOk) {
-        return tl::unexpected<Failure>(unexpectedAnswer(*response));
+        return tl::unexpected<Failure>(unexpectedStatus(*response));
     }
     return std::move(response->body);
 }
 
-Result<void> storedOf(const Result<http::Response> &response)
+Result<void> parsePutResponse(const Result<http::Response> &response)
 {
     if (!response) {
         return tl::unexpected<Failure>(response.error());
     }
     if (response->status != StatusOk) {
-        return tl::unexpected<Failure>(unexpectedAnswer(*response));
+        return tl::unexpected<Failure>(unexpectedStatus(*response));
     }
     return {};
 }
@@ -66,13 +66,13 @@
 void HttpObjectStore::put(const std::string &name, std::string data, PutCallback done)
 {
     http::HttpClient::Request request{.method = "PUT", .path = objectPath(name), .body = std::move(data), .timeout = impl_->timeout};
-    impl_->client.send(std::move(request), [done = std::move(done)](const Result<http::Response> &response) { done(storedOf(response)); });
+    impl_->client.send(std::move(request), [done = std::move(done)](const Result<http::Response> &response) { done(parsePutResponse(response)); });
 }
 
 void HttpObjectStore::get(const std::string &name, GetCallback done)
 {
     impl_->client.send({.method = "GET", .path = objectPath(name), .timeout = impl_->timeout},
-                       [done = std::move(done)](Result<http::Response> response) { done(objectOf(std::move(response))); });
+                       [done = std::move(done)](Result<http::Response> response) { done(parseGetResponse(std::move(response))); });
 }
 
 } // namespace magnolia::store
--- a/libs/store/src/httptable.cpp
+++ b/libs/store/src/httptable.cpp
@@ -28,7 +28,7 @@
     return tl::unexpected<Failure>(std::move(failure));
 }
 
-Result<std::optional<Row>> rowOf(const Result<http::Response> &response)
+Result<std::optional<Row>> parseReadResponse(const Result<http::Response> &response)
 {
     if (!response) {
         return unexpected(response.error());
@@ -37,7 +37,7 @@
         return std::nullopt;
     }
     if (response->status != StatusOk) {
-        return unexpected(unexpectedAnswer(*response));
+        return unexpected(unexpectedStatus(*response));
     }
     const auto fields = readObject(response->body);
     if (!fields) {
@@ -45,20 +45,20 @@
     }
     auto row = readRow(*fields);
     if (!row) {
-        return unexpected(malformedAnswer());
+        return unexpected(malformedBody());
     }
     return row;
 }
 
-/** @param written the value that stands there if the write was applied; nothing for a removal. */
-Result<WriteOutcome> outcomeOf(const Result<http::Response> &response, const std::optional<std::string> &written)
+/** @param written the row's value if the write is applied; nullopt for a removal. */
+Result<WriteOutcome> parseWriteResponse(const Result<http::Response> &response, const std::optional<std::string> &written)
 {
     if (!response) {
         return unexpected(response.error());
     }
     const bool isApplied = response->status == StatusOk;
     if (!isApplied && response->status != StatusPreconditionFailed) {
-        return unexpected(unexpectedAnswer(*response));
+        return unexpected(unexpectedStatus(*response));
     }
     auto fields = readObject(response->body);
     if (!fields) {
@@ -75,18 +75,18 @@
     }
     auto row = readRow(*fields);
     if (!row) {
-        return unexpected(malformedAnswer());
+        return unexpected(malformedBody());
     }
     return WriteOutcome{.applied = isApplied, .current = std::move(row)};
 }
 
-Result<std::map<std::string, Row>> rowsOf(const Result<http::Response> &response)
+Result<std::map<std::string, Row>> parseListResponse(const Result<http::Response> &response)
 {
     if (!response) {
         return unexpected(response.error());
     }
     if (response->status != StatusOk) {
-        return unexpected(unexpectedAnswer(*response));
+        return unexpected(unexpectedStatus(*response));
     }
     const auto fields = readObject(response->body);
     if (!fields) {
@@ -94,31 +94,31 @@
     }
     const auto found = fields->find("rows");
     if (found == fields->end() || !found->is_object()) {
-        return unexpected(malformedAnswer());
+        return unexpected(malformedBody());
     }
     std::map<std::string, Row> rows;
     for (const auto &[key, value] : found->items()) {
         auto row = readRow(value);
         if (!row) {
-            return unexpected(malformedAnswer());
+            return unexpected(malformedBody());
         }
         rows.emplace(key, std::move(*row));
     }
     return rows;
 }
 
-/** One write's part in the answer to a transaction. */
-Result<WriteOutcome> partOf(const Json &result)
+/** Parses the result of one write of a transaction. */
+Result<WriteOutcome> parseTransactionResult(const Json &result)
 {
     const auto applied = result.is_object() ? result.find("applied") : result.end();
     if (!result.is_object() || applied == result.end() || !applied->is_boolean()) {
-        return unexpected(malformedAnswer());
+        return unexpected(malformedBody());
     }
     const bool isApplied = applied->get<bool>();
     auto row = readRow(result);
     const bool isRowGone = !isApplied && !result.contains("value") && !result.contains("revision");
     if (!row && !isRowGone) {
-        return unexpected(malformedAnswer());
+        return unexpected(malformedBody());
     }
     return WriteOutcome{.applied = isApplied, .current = std::move(row)};
 }
@@ -129,7 +129,7 @@
 {
 public:
     Impl(event_base *loop, Options options)
-        : options_(std::move(options)), client_(loop, {.address = options_.address}), batchTimer_(evtimer_new(loop, &Impl::onBatchDue, this))
+        : options_(std::move(options)), client_(loop, {.address = options_.address}), batchTimer_(evtimer_new(loop, &Impl::onBatchTimer, this))
     {
     }
 
@@ -142,42 +142,42 @@
     struct Insert {
         std::string key;
         std::string value;
-        std::optional<std::string> entry; ///< Its part of the transaction; nothing if the value can't be sent.
+        std::optional<std::string> transactionEntry; ///< Its JSON element of a transaction; nullopt if the value can't be encoded.
         WriteCallback done;
     };
 
     using Batch = std::vector<Insert>;
 
     void flush();
-    void sendAlone(Insert insert);
-    void sendTogether(Batch batch);
-    static std::vector<Result<WriteOutcome>> outcomesOf(const Result<http::Response> &response, std::size_t count);
-    static void onBatchDue(evutil_socket_t fd, short what, void *self);
+    void sendSingle(Insert insert);
+    void sendTransaction(Batch batch);
+    static std::vector<Result<WriteOutcome>> parseTransactionResponse(const Result<http::Response> &response, std::size_t count);
+    static void onBatchTimer(evutil_socket_t fd, short what, void *self);
 
     Options options_;
     http::HttpClient client_;
     http::EventPtr batchTimer_;
-    Batch waiting_;
+    Batch pendingInserts_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Expires when a callback destroys the table.
 };
 
 void HttpTable::Impl::read(const std::string &key, ReadCallback done)
 {
     client_.send({.method = "GET", .path = rowPath(key), .timeout = options_.timeout},
-                 [done = std::move(done)](const Result<http::Response> &response) { done(rowOf(response)); });
+                 [done = std::move(done)](const Result<http::Response> &response) { done(parseReadResponse(response)); });
 }
 
 void HttpTable::Impl::insert(const std::string &key, std::string value, WriteCallback done)
 {
-    Insert insert{.key = key, .value = std::move(value), .entry = std::nullopt, .done = std::move(done)};
+    Insert insert{.key = key, .value = std::move(value), .transactionEntry = std::nullopt, .done = std::move(done)};
     try {
-        insert.entry = Json{{"key", insert.key}, {"value", insert.value}, {"if_revision", nullptr}}.dump();
+        insert.transactionEntry = Json{{"key", insert.key}, {"value", insert.value}, {"if_revision", nullptr}}.dump();
     } catch (const Json::exception &) {
-        // Not UTF-8: refused on its own in flush, as the others of its batch must not fail with it.
+        // The value is not UTF-8. flush() fails this insert alone, without failing the others of its batch.
     }
-    waiting_.push_back(std::move(insert));
-    const bool isFull = waiting_.size() >= options_.maxBatch;
-    if (isFull || waiting_.size() == 1) {
+    pendingInserts_.push_back(std::move(insert));
+    const bool isFull = pendingInserts_.size() >= options_.maxBatch;
+    if (isFull || pendingInserts_.size() == 1) {
         http::startTimer(batchTimer_.get(), isFull ? Duration{0} : options_.batchDelay);
     }
 }
@@ -192,30 +192,30 @@
         .timeout = options_.timeout,
     };
     client_.send(std::move(request),
-                 [value = std::move(value), done = std::move(done)](const Result<http::Response> &response) { done(outcomeOf(response, value)); });
+                 [value = std::move(value), done = std::move(done)](const Result<http::Response> &response) { done(parseWriteResponse(response, value)); });
 }
 
 void HttpTable::Impl::list(const std::string &prefix, RowsCallback done)
 {
     const std::string path = "/table/rows?prefix=" + percentEncoded(prefix);
     client_.send({.method = "GET", .path = path, .timeout = options_.timeout},
-                 [done = std::move(done)](const Result<http::Response> &response) { done(rowsOf(response)); });
+                 [done = std::move(done)](const Result<http::Response> &response) { done(parseListResponse(response)); });
 }
 
 void HttpTable::Impl::flush()
 {
     Batch sendable;
-    Batch refused;
-    for (Insert &insert : std::exchange(waiting_, {})) {
-        (insert.entry ? sendable : refused).push_back(std::move(insert));
+    Batch rejected;
+    for (Insert &insert : std::exchange(pendingInserts_, {})) {
+        (insert.transactionEntry ? sendable : rejected).push_back(std::move(insert));
     }
     if (sendable.size() == 1) {
-        sendAlone(std::move(sendable.front()));
+        sendSingle(std::move(sendable.front()));
     } else if (!sendable.empty()) {
-        sendTogether(std::move(sendable));
+        sendTransaction(std::move(sendable));
     }
     const std::weak_ptr alive = alive_;
-    for (const Insert &insert : refused) {
+    for (const Insert &insert : rejected) {
         if (alive.expired()) {
             return;
         }
@@ -223,7 +223,7 @@
     }
 }
 
-void HttpTable::Impl::sendAlone(Insert insert)
+void HttpTable::Impl::sendSingle(Insert insert)
 {
     http::HttpClient::Request request{
         .method = "PUT",
@@ -232,53 +232,54 @@
         .body = insert.value,
         .timeout = options_.timeout,
     };
-    client_.send(std::move(request), [insert = std::move(insert)](const Result<http::Response> &response) { insert.done(outcomeOf(response, insert.value)); });
+    client_.send(std::move(request),
+                 [insert = std::move(insert)](const Result<http::Response> &response) { insert.done(parseWriteResponse(response, insert.value)); });
 }
 
-void HttpTable::Impl::sendTogether(Batch batch)
+void HttpTable::Impl::sendTransaction(Batch batch)
 {
     std::string body = R"({"writes":[)";
     for (const Insert &insert : batch) {
-        body.append(body.back() == '[' ? "" : ",").append(*insert.entry);
+        body.append(body.back() == '[' ? "" : ",").append(*insert.transactionEntry);
     }
     body.append("]}");
     http::HttpClient::Request request{.method = "POST", .path = "/table/transactions", .body = std::move(body), .timeout = options_.timeout};
     client_.send(std::move(request), [batch = std::move(batch), alive = std::weak_ptr(alive_)](const Result<http::Response> &response) {
-        const auto outcomes = outcomesOf(response, batch.size());
+        const auto outcomes = parseTransactionResponse(response, batch.size());
         for (std::size_t i = 0; i < batch.size() && !alive.expired(); ++i) {
             batch[i].done(outcomes[i]);
         }
     });
 }
 
-std::vector<Result<WriteOutcome>> HttpTable::Impl::outcomesOf(const Result<http::Response> &response, std::size_t count)
+std::vector<Result<WriteOutcome>> HttpTable::Impl::parseTransactionResponse(const Result<http::Response> &response, std::size_t count)
 {
     const auto allFailed = [count](const Failure &failure) { return std::vector<Result<WriteOutcome>>(count, unexpected(failure)); };
     if (!response) {
         return allFailed(response.error());
     }
     if (response->status != StatusOk) {
-        return allFailed(unexpectedAnswer(*response));
+        return allFailed(unexpectedStatus(*response));
     }
     const auto fields = readObject(response->body);
     if (!fields) {
         return allFailed(fields.error());
     }
     const auto results = fields->find("results");
-    const bool isWhole = results != fields->end() && results->is_array() && results->size() == count;
-    if (!isWhole) {
-        // It can't be told which result belongs to which write.
-        return allFailed(malformedAnswer());
+    const bool isComplete = results != fields->end() && results->is_array() && results->size() == count;
+    if (!isComplete) {
+        // The results can't be matched to the writes.
+        return allFailed(malformedBody());
     }
     std::vector<Result<WriteOutcome>> outcomes;
     outcomes.reserve(count);
     for (const Json &result : *results) {
-        outcomes.push_back(partOf(result));
+        outcomes.push_back(parseTransactionResult(result));
     }
     return outcomes;
 }
 
-void HttpTable::Impl::onBatchDue(evutil_socket_t /*fd*/, short /*what*/, void *self)
+void HttpTable::Impl::onBatchTimer(evutil_socket_t /*fd*/, short /*what*/, void *self)
 {
     static_cast<Impl *>(self)->flush();
 }
--- a/libs/store/src/replyreader.cpp
+++ b/libs/store/src/replyreader.cpp
@@ -14,9 +14,9 @@
 
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusUnavailable = 503;
-constexpr int MaxDepth = 16; ///< Answers of the platform nest four deep at most.
+constexpr int MaxDepth = 16; ///< Valid answers nest at most four levels deep.
 
-std::optional<std::chrono::milliseconds> retryAfterOf(const http::Response &response)
+std::optional<std::chrono::milliseconds> parseRetryAfter(const http::Response &response)
 {
     const auto found = response.headers.find("retry-after");
     if (found == response.headers.end()) {
@@ -25,8 +25,8 @@
     constexpr int MaxSeconds = 3600;
     int seconds = 0;
     const auto parsed = std::from_chars(found->second.data(), found->second.data() + found->second.size(), seconds);
-    const bool isSane = parsed.ec == std::errc() && seconds >= 0 && seconds <= MaxSeconds;
-    return isSane ? std::optional(std::chrono::milliseconds(std::chrono::seconds(seconds))) : std::nullopt;
+    const bool isInRange = parsed.ec == std::errc() && seconds >= 0 && seconds <= MaxSeconds;
+    return isInRange ? std::optional(std::chrono::milliseconds(std::chrono::seconds(seconds))) : std::nullopt;
 }
 
 } // namespace
@@ -38,16 +38,16 @@
         return {};
     }
     std::string result(encoded);
-    // evhttp hands over memory of malloc.
+    // evhttp allocates the string with malloc().
     std::free(encoded); // NOLINT(cppcoreguidelines-no-malloc)
     return result;
 }
 
 Result<Json> readObject(std::string_view body)
 {
-    // The parser itself recurses only when the value is destroyed or walked; a few megabytes of '[' must not get there.
-    const auto isTooDeep = [](int depth, Json::parse_event_t /*event*/, Json & /*parsed*/) { return depth <= MaxDepth; };
-    Json parsed = Json::parse(body, isTooDeep, false);
+    // Parsing is iterative, but destroying or traversing the value recurses: megabytes of '[' would overflow the stack.
+    const auto isWithinMaxDepth = [](int depth, Json::parse_event_t /*event*/, Json & /*parsed*/) { return depth <= MaxDepth; };
+    Json parsed = Json::parse(body, isWithinMaxDepth, false);
     if (!parsed.is_object()) {
         return fail(ErrorCode::ProtocolError, Verdict::MayHaveRun, "the platform's answer is not a JSON object");
     }
@@ -61,25 +61,25 @@
     }
     const auto value = fields.find("value");
     const auto revision = fields.find("revision");
-    const bool isWhole = value != fields.end() && value->is_string() && revision != fields.end() && revision->is_number_unsigned();
-    if (!isWhole) {
+    const bool isComplete = value != fields.end() && value->is_string() && revision != fields.end() && revision->is_number_unsigned();
+    if (!isComplete) {
         return std::nullopt;
     }
     return Row{.value = value->get<std::string>(), .revision = revision->get<std::uint64_t>()};
 }
 
-Failure unexpectedAnswer(const http::Response &response)
+Failure unexpectedStatus(const http::Response &response)
 {
-    const bool isOutage = response.status == StatusUnavailable || response.status == StatusTooManyRequests;
+    const bool isTemporary = response.status == StatusUnavailable || response.status == StatusTooManyRequests;
     return Failure{
-        .code = isOutage ? ErrorCode::Unavailable : ErrorCode::ProtocolError,
+        .code = isTemporary ? ErrorCode::Unavailable : ErrorCode::ProtocolError,
         .verdict = Verdict::MayHaveRun,
         .detail = "the platform answered " + std::to_string(response.status),
-        .retryAfter = retryAfterOf(response),
+        .retryAfter = parseRetryAfter(response),
     };
 }
 
-Failure malformedAnswer()
+Failure malformedBody()
 {
     return Failure{.code = ErrorCode::ProtocolError, .verdict = Verdict::MayHaveRun, .detail = "the platform's answer is malformed", .retryAfter = {}};
 }
--- a/libs/store/src/replyreader.h
+++ b/libs/store/src/replyreader.h
@@ -16,24 +16,24 @@
 
 using Json = nlohmann::json;
 
-/** @return the key or name with all but unreserved characters percent-encoded, '/' too. */
+/** Percent-encodes all but unreserved characters; '/' is encoded too. */
 std::string percentEncoded(std::string_view text);
 
 /**
- * Reads a JSON object that the platform answered.
+ * Parses the platform's answer as a JSON object.
  *
- * @return a ProtocolError with MayHaveRun if it is anything else, or is nested deeper than any answer of the platform.
+ * @return a ProtocolError with MayHaveRun if it is not an object, or is nested deeper than any valid answer.
  */
 Result<Json> readObject(std::string_view body);
 
-/** @return the row in `{"value": "...", "revision": N}`; nothing if it is anything else. */
+/** Parses a row `{"value": "...", "revision": N}`. @return nullopt if a member is missing or of the wrong type. */
 std::optional<Row> readRow(const Json &fields);
 
-/** @return the failure for an answer that is not an expected one. Even a 503 doesn't prove that a write had no effect. */
-Failure unexpectedAnswer(const http::Response &response);
+/** @return the failure for an unexpected status. Its verdict is always MayHaveRun, as even a 503 does not prove that a write had no effect. */
+Failure unexpectedStatus(const http::Response &response);
 
 /** @return the failure for an answer whose fields are missing or of the wrong type. */
-Failure malformedAnswer();
+Failure malformedBody();
 
 } // namespace magnolia::store
 
--- a/libs/store/tests/memorytabletest.cpp
+++ b/libs/store/tests/memorytabletest.cpp
@@ -12,7 +12,7 @@
 {
 
 struct MemoryTableFixture {
-    WriteCallback keep()
+    WriteCallback storeOutcome()
     {
         return [this](Result<WriteOutcome> result) { outcome = std::move(result); };
     }
@@ -28,7 +28,7 @@
 BOOST_AUTO_TEST_CASE(secondInsert_delivered_isNotAppliedAndShowsTheFirst)
 {
     table.insert("k", "a", {[](const Result<WriteOutcome> &) {}});
-    table.insert("k", "b", keep());
+    table.insert("k", "b", storeOutcome());
     BOOST_TEST(!outcome.has_value());
     BOOST_TEST(table.deliver() == 2U);
     BOOST_REQUIRE(outcome && *outcome);
@@ -40,29 +40,29 @@
 {
     struct Case {
         MemoryTable::Fault fault;
-        bool isThereAtOnce;
-        bool isThereLater;
+        bool isAppliedAtOnce;
+        bool isAppliedLater;
     };
     for (const Case &wanted : {Case{MemoryTable::Fault::LoseReply, true, true},
                                Case{MemoryTable::Fault::LoseRequest, false, false},
                                Case{MemoryTable::Fault::DelayEffect, false, true}}) {
         MemoryTable fresh;
         fresh.failNextWrite(wanted.fault);
-        fresh.insert("k", "a", keep());
+        fresh.insert("k", "a", storeOutcome());
         fresh.deliver();
         BOOST_REQUIRE(outcome.has_value());
         BOOST_REQUIRE(!outcome->has_value());
         BOOST_TEST((outcome->error().verdict == Verdict::MayHaveRun));
-        BOOST_TEST(fresh.peek("k").has_value() == wanted.isThereAtOnce);
+        BOOST_TEST(fresh.peek("k").has_value() == wanted.isAppliedAtOnce);
         fresh.releaseHeld();
-        BOOST_TEST(fresh.peek("k").has_value() == wanted.isThereLater);
+        BOOST_TEST(fresh.peek("k").has_value() == wanted.isAppliedLater);
     }
 }
 
-BOOST_AUTO_TEST_CASE(heldWrite_released_isJudgedThen)
+BOOST_AUTO_TEST_CASE(heldWrite_released_checksItsConditionThen)
 {
     table.failNextWrite(MemoryTable::Fault::Hold);
-    table.insert("k", "a", keep());
+    table.insert("k", "a", storeOutcome());
     table.deliver();
     BOOST_TEST(!outcome.has_value());
     table.overwrite("k", "rival");
@@ -71,10 +71,10 @@
     BOOST_TEST(!(*outcome)->applied);
 }
 
-BOOST_AUTO_TEST_CASE(downTable_called_failsAsUnavailable)
+BOOST_AUTO_TEST_CASE(downTable_called_failsWithUnavailable)
 {
     table.setDown(true);
-    table.insert("k", "a", keep());
+    table.insert("k", "a", storeOutcome());
     table.deliver();
     BOOST_REQUIRE(outcome.has_value());
     BOOST_REQUIRE(!outcome->has_value());
--- a/libs/store/tests/platformclientstest.cpp
+++ b/libs/store/tests/platformclientstest.cpp
@@ -41,7 +41,7 @@
     http::EventBasePtr loop{event_base_new()};
 };
 
-/** The clients at an address, each call made in one line. */
+/** The platform's clients for one address, with blocking calls. */
 struct Clients {
     Clients(LoopFixture &owner, const std::string &address, Duration timeout = ShortTimeout)
         : fixture(owner)
@@ -103,9 +103,9 @@
     Clients clients{*this, platform.address()};
 };
 
-/** A platform that gives every request the same answer. */
+/** A server that gives every request the same answer. */
 struct BadPlatformFixture : LoopFixture {
-    void answerWith(int status, const std::string &body)
+    void answerAllWith(int status, const std::string &body)
     {
         server = http::HttpServer::listen(loop.get(), {.address = "127.0.0.1:0"}, [status, body](const std::shared_ptr<http::Exchange> &exchange) {
                      exchange->reply(status, {}, body);
@@ -121,7 +121,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(PlatformClientsTest, PlatformFixture)
 
-BOOST_AUTO_TEST_CASE(rowOfOddKey_writtenAndRemoved_isReadAsItStands)
+BOOST_AUTO_TEST_CASE(rowWithSpecialCharactersInKey_writtenAndRemoved_isReadBack)
 {
     const std::string key = "claim/org a/\"x\"?&#%25/é";
     BOOST_TEST(!clients.read(key)->has_value());
@@ -155,9 +155,9 @@
     BOOST_TEST((clients.get("hash")->value() == bytes));
 }
 
-// Symptom: the table refuses writes under a rush of bookings. Cause: one write each, where the service counts
-// transactions; and one loser in a batch must not take the others with it.
-BOOST_AUTO_TEST_CASE(insertsOfTheSameMoment_sent_shareOneTransactionAndAreJudgedAlone)
+// Guards against exceeding the table's rate limit in a burst of inserts: the limit counts transactions, so inserts share one.
+// An insert that fails must not fail the others of its batch.
+BOOST_AUTO_TEST_CASE(simultaneousInserts_sent_shareOneTransactionAndSucceedOrFailOnTheirOwn)
 {
     BOOST_REQUIRE(clients.insert("claim/3", "rival").has_value());
     const std::uint64_t before = platform.writesCounted();
@@ -187,9 +187,9 @@
     BOOST_TEST(clients.read("claim/19")->value().value == "mine");
 }
 
-// Symptom: a booking is made twice, or its key is taken for free while it is claimed. Sequence: the write takes effect
-// and its reply is lost, or it never arrives; both look the same. Cause: a client that says "not run", or writes again.
-BOOST_AUTO_TEST_CASE(writeWithoutReply_ofAnyKind_mayHaveRunAndIsMadeOnce)
+// Guards against applying a write twice, or reporting a claimed key as free: if the reply is lost, the client can't know
+// whether the write took effect, so it must report MayHaveRun and must not repeat the write.
+BOOST_AUTO_TEST_CASE(writeWithoutReply_ofAnyKind_mayHaveRunAndIsNotRepeated)
 {
     BOOST_REQUIRE(clients.insert("row", "old").has_value());
     for (const bool takesEffect : {true, false}) {
@@ -219,7 +219,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(outage_ofEachPart_failsItsCallsAndEndsByItself)
+BOOST_AUTO_TEST_CASE(outage_ofEachService_failsItsCallsUntilItEnds)
 {
     struct Case {
         std::string name;
@@ -246,13 +246,13 @@
 
 BOOST_AUTO_TEST_CASE(closedPort_called_provesThatNothingRan)
 {
-    Clients nobody(*this, "127.0.0.1:1");
-    BOOST_TEST((nobody.insert("k", "v").error().verdict == Verdict::NotRun));
-    BOOST_TEST((nobody.put("k", "v").error().verdict == Verdict::NotRun));
-    BOOST_TEST((nobody.read("k").error().code == ErrorCode::Unavailable));
+    Clients unreachable(*this, "127.0.0.1:1");
+    BOOST_TEST((unreachable.insert("k", "v").error().verdict == Verdict::NotRun));
+    BOOST_TEST((unreachable.put("k", "v").error().verdict == Verdict::NotRun));
+    BOOST_TEST((unreachable.read("k").error().code == ErrorCode::Unavailable));
 }
 
-BOOST_AUTO_TEST_CASE(listWithSenselessEntries_fetched_showsTheOthers)
+BOOST_AUTO_TEST_CASE(listWithInvalidElements_fetched_holdsTheOthers)
 {
     http::HttpClient operators(loop.get(), {.address = platform.address()});
     const std::array<std::string, 3> registrations = {
@@ -275,25 +275,25 @@
     BOOST_TEST(instances->front().leaving);
 }
 
-// Symptom: after something on the path forgot the open connections, calls fail until the process is restarted.
-// Sequence: the connections stay open and silent, new ones would work; one call times out, the next must dial afresh.
-BOOST_AUTO_TEST_CASE(connectionsFallenSilent_whileNewOnesWork_areReplacedAfterOneTimeout)
+// Guards against calls failing until a restart after a middlebox has dropped the state of open connections: these stay open
+// without answering, while new ones work. After one call has timed out, the next must open a new connection.
+BOOST_AUTO_TEST_CASE(deadConnections_whileNewOnesWork_areReplacedAfterOneTimeout)
 {
     standins::Relay relay(loop.get(), {.target = platform.address()});
-    Clients distant(*this, relay.address());
-    BOOST_REQUIRE(distant.insert("a", "v").has_value());
-    BOOST_REQUIRE(distant.put("a", "v").has_value());
+    Clients relayed(*this, relay.address());
+    BOOST_REQUIRE(relayed.insert("a", "v").has_value());
+    BOOST_REQUIRE(relayed.put("a", "v").has_value());
     relay.silence();
-    BOOST_TEST((distant.insert("b", "v").error().verdict == Verdict::MayHaveRun));
-    BOOST_TEST(!distant.get("a").has_value());
-    BOOST_TEST(distant.insert("c", "v").has_value());
-    BOOST_TEST(distant.get("a").has_value());
-    // Nothing that was swallowed may come through later.
-    BOOST_TEST(!distant.read("b")->has_value());
+    BOOST_TEST((relayed.insert("b", "v").error().verdict == Verdict::MayHaveRun));
+    BOOST_TEST(!relayed.get("a").has_value());
+    BOOST_TEST(relayed.insert("c", "v").has_value());
+    BOOST_TEST(relayed.get("a").has_value());
+    // A request swallowed by a dead connection must not be delivered later.
+    BOOST_TEST(!relayed.read("b")->has_value());
     BOOST_TEST(relay.counts()["accepted"] == 4);
 }
 
-BOOST_AUTO_TEST_CASE(table_destroyedInACallback_callsBackNoMore)
+BOOST_AUTO_TEST_CASE(table_destroyedInACallback_makesNoFurtherCallbacks)
 {
     auto table = std::make_unique<HttpTable>(loop.get(), HttpTable::Options{.address = platform.address()});
     int calls = 0;
@@ -313,8 +313,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(PlatformBadReplyTest, BadPlatformFixture)
 
-// Symptom: the process dies, hangs or believes nonsense on a reply that the platform never should give.
-BOOST_AUTO_TEST_CASE(senselessReply_toAnyCall_isAFailureThatProvesNothing)
+// Guards against crashing, hanging or accepting wrong data on a malformed reply.
+BOOST_AUTO_TEST_CASE(malformedReply_toAnyCall_failsWithMayHaveRun)
 {
     const std::string deep(200000, '[');
     const std::array<std::pair<std::string, std::string>, 16> bodies = {{
@@ -336,22 +336,22 @@
         {"rows of wrong rows", R"({"rows": {"k": 7}, "results": [7], "instances": 7})"},
     }};
     for (const auto &[name, body] : bodies) {
-        answerWith(200, body);
-        const auto isSuspect = [&name = name](const auto &result) {
+        answerAllWith(200, body);
+        const auto expectUnprovenFailure = [&name = name](const auto &result) {
             BOOST_REQUIRE_MESSAGE(!result.has_value(), name);
             BOOST_TEST((result.error().code == ErrorCode::ProtocolError), name);
             BOOST_TEST((result.error().verdict == Verdict::MayHaveRun), name);
         };
-        isSuspect(clients->read("k"));
-        isSuspect(clients->list("k"));
-        isSuspect(clients->fetch());
-        answerWith(412, body);
-        isSuspect(clients->insert("k", "v"));
-        isSuspect(clients->replace("k", 1, "v"));
+        expectUnprovenFailure(clients->read("k"));
+        expectUnprovenFailure(clients->list("k"));
+        expectUnprovenFailure(clients->fetch());
+        answerAllWith(412, body);
+        expectUnprovenFailure(clients->insert("k", "v"));
+        expectUnprovenFailure(clients->replace("k", 1, "v"));
     }
 }
 
-BOOST_AUTO_TEST_CASE(senselessResults_toATransaction_failItsWrites)
+BOOST_AUTO_TEST_CASE(malformedResults_ofATransaction_failItsWrites)
 {
     const std::array<std::string, 7> bodies = {
         "{}",
@@ -363,7 +363,7 @@
         R"({"results": [{"applied": true}, {"applied": false, "revision": 1}]})",
     };
     for (const std::string &body : bodies) {
-        answerWith(200, body);
+        answerAllWith(200, body);
         int failed = 0;
         std::optional<bool> isDone;
         for (const std::string key : {"a", "b"}) {
@@ -379,10 +379,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(unexpectedStatus_toAnyCall_isAFailureThatProvesNothing)
+BOOST_AUTO_TEST_CASE(unexpectedStatus_toAnyCall_failsWithMayHaveRun)
 {
     for (const int status : {201, 204, 302, 400, 401, 409, 429, 500, 502, 503, 504}) {
-        answerWith(status, "{}");
+        answerAllWith(status, "{}");
         const std::array<Verdict, 4> verdicts = {
             clients->insert("k", "v").error().verdict,
             clients->remove("k", 1).error().verdict,
@@ -395,12 +395,12 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(oversizeReply_toARead_isTooLarge)
+BOOST_AUTO_TEST_CASE(oversizeReply_toARead_failsWithTooLarge)
 {
-    answerWith(200, R"({"value": ")" + std::string(20U << 20U, 'x') + R"(", "revision": 1})");
-    Clients patient(*this, server->address(), Duration{5000});
-    BOOST_TEST((patient.read("k").error().code == ErrorCode::TooLarge));
-    BOOST_TEST((patient.get("k").error().code == ErrorCode::TooLarge));
+    answerAllWith(200, R"({"value": ")" + std::string(20U << 20U, 'x') + R"(", "revision": 1})");
+    Clients slowClients(*this, server->address(), Duration{5000});
+    BOOST_TEST((slowClients.read("k").error().code == ErrorCode::TooLarge));
+    BOOST_TEST((slowClients.get("k").error().code == ErrorCode::TooLarge));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/store/tests/rowwritertest.cpp
+++ b/libs/store/tests/rowwritertest.cpp
@@ -14,16 +14,16 @@
 namespace
 {
 
-/** Notes what is written, and answers when the test says. */
-struct NotingTable {
-    void write(const std::vector<RowChange> &changes, RowsWritten written)
+/** Records writes; the test answers them with fail() or succeed(). */
+struct RecordingTable {
+    void write(const std::vector<RowChange> &changes, WriteRowsCallback callback)
     {
         calls.push_back(changes);
-        done = std::move(written);
+        done = std::move(callback);
     }
 
     std::vector<std::vector<RowChange>> calls;
-    RowsWritten done;
+    WriteRowsCallback done;
 };
 
 struct RowWriterFixture : http::LoopFixture {
@@ -40,15 +40,15 @@
         std::exchange(table.done, nullptr)({});
     }
 
-    NotingTable table;
-    RowWriter<NotingTable> writer{loop.get(), table, {.name = "t", .retryInterval = Duration(20), .mostInCall = 3, .mostPending = 5}};
+    RecordingTable table;
+    RowWriter<RecordingTable> writer{loop.get(), table, {.name = "t", .retryInterval = Duration(20), .maxBatch = 3, .maxPending = 5}};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(RowWriterTest, RowWriterFixture)
 
-BOOST_AUTO_TEST_CASE(changes_madeTogether_goInOneCall)
+BOOST_AUTO_TEST_CASE(changes_madeTogether_areWrittenInOneCall)
 {
     writer.put("a", "1");
     writer.remove("b");
@@ -58,7 +58,7 @@
     BOOST_TEST(!table.calls[0][1].value.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(store_away_changeIsWrittenAgainUntilTaken)
+BOOST_AUTO_TEST_CASE(store_failing_changeIsWrittenAgainUntilAcknowledged)
 {
     writer.put("a", "1");
     for (std::size_t call = 1; call <= 3; ++call) {
@@ -71,8 +71,8 @@
     BOOST_TEST(table.calls.size() == 4U);
 }
 
-// Guards against a row being brought back by the repetition of an older change.
-BOOST_AUTO_TEST_CASE(row_removedWhileItsWritingIsInFlight_removalStands)
+// Guards against restoring a removed row when an older write of it is repeated.
+BOOST_AUTO_TEST_CASE(row_removedWhileItsWriteIsInFlight_staysRemoved)
 {
     writer.put("a", "1");
     BOOST_REQUIRE(runUntilCalls(1));
@@ -83,7 +83,7 @@
     BOOST_TEST(!table.calls[1][0].value.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(changes_moreThanOneCallHolds_goInTurn)
+BOOST_AUTO_TEST_CASE(changes_exceedingABatch_areWrittenInSeveralCalls)
 {
     for (const std::string key : {"a", "b", "c", "d", "e", "f"}) {
         writer.put(key, "1");
@@ -92,7 +92,7 @@
     BOOST_TEST(table.calls[0].size() == 3U);
     succeed();
     BOOST_REQUIRE(runUntilCalls(2));
-    BOOST_TEST(table.calls[1].size() == 2U); // The sixth is over the bound.
+    BOOST_TEST(table.calls[1].size() == 2U); // The sixth exceeded maxPending and was dropped.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/store/tests/storeclocktest.cpp
+++ b/libs/store/tests/storeclocktest.cpp
@@ -11,12 +11,12 @@
 using namespace std::chrono_literals;
 
 struct StoreClockFixture {
-    BootTime at(Duration sinceStart) const
+    BootTime timeAt(Duration sinceStart) const
     {
-        return start_ + sinceStart;
+        return origin_ + sinceStart;
     }
 
-    const BootTime start_ = BootTime(1h);
+    const BootTime origin_ = BootTime(1h);
     StoreClock clock;
 };
 
@@ -24,29 +24,29 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreClockTest, StoreClockFixture)
 
-BOOST_AUTO_TEST_CASE(firstAnswer_nothingKnownOfItsClock_countsFromTheQuestion)
+BOOST_AUTO_TEST_CASE(firstAnswer_noBoundOfTheStoresClock_countsFromTheRequest)
 {
-    BOOST_TEST((clock.answered(at(0ms), 5000ms, at(1000ms)) == at(0ms)));
+    BOOST_TEST((clock.estimateAnswerTime(timeAt(0ms), 5000ms, timeAt(1000ms)) == timeAt(0ms)));
 }
 
-BOOST_AUTO_TEST_CASE(longPoll_answeredAtItsEnd_countsFromThere)
+BOOST_AUTO_TEST_CASE(longPoll_answeredAtItsEnd_countsFromItsEnd)
 {
-    clock.answered(at(0ms), 5000ms, at(4ms));
-    BOOST_TEST((clock.answered(at(10ms), 6005ms, at(1010ms)) == at(1005ms)));
+    clock.estimateAnswerTime(timeAt(0ms), 5000ms, timeAt(4ms));
+    BOOST_TEST((clock.estimateAnswerTime(timeAt(10ms), 6005ms, timeAt(1010ms)) == timeAt(1005ms)));
 }
 
-BOOST_AUTO_TEST_CASE(slowQuestion_answerLater_neverCountsBeforeTheQuestion)
+BOOST_AUTO_TEST_CASE(answer_boundBeforeItsRequest_countsFromTheRequest)
 {
-    clock.answered(at(0ms), 5000ms, at(4ms));
-    BOOST_TEST((clock.answered(at(2000ms), 5100ms, at(2004ms)) >= at(2000ms)));
+    clock.estimateAnswerTime(timeAt(0ms), 5000ms, timeAt(4ms));
+    BOOST_TEST((clock.estimateAnswerTime(timeAt(2000ms), 5100ms, timeAt(2004ms)) >= timeAt(2000ms)));
 }
 
-BOOST_AUTO_TEST_CASE(storeReplaced_itsClockRunsAhead_countsFromTheQuestion)
+BOOST_AUTO_TEST_CASE(storeReplaced_itsClockRunsAhead_countsFromTheRequest)
 {
-    // Symptom: keys that were taken away were trusted. Sequence: the store was replaced by one whose clock stood at a
-    // higher time. Cause: that clock, read by the old one's zero, lay in the future.
-    clock.answered(at(0ms), 5000ms, at(4ms));
-    BOOST_TEST((clock.answered(at(100ms), 900000ms, at(104ms)) == at(100ms)));
+    // Guards against accepting revoked keys: the store was replaced by one with a higher clock reading, which the bound of the
+    // old store's clock mapped to a time in the future.
+    clock.estimateAnswerTime(timeAt(0ms), 5000ms, timeAt(4ms));
+    BOOST_TEST((clock.estimateAnswerTime(timeAt(100ms), 900000ms, timeAt(104ms)) == timeAt(100ms)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
