--- a/libs/store/src/httpinstances.cpp
+++ b/libs/store/src/httpinstancelist.cpp
@@ -1,4 +1,4 @@
-#include "store/httpinstances.h"
+#include "store/httpinstancelist.h"
 
 #include "http/httpclient.h"
 #include "replyreader.h"
@@ -14,7 +14,7 @@
 
 constexpr int StatusOk = 200;
 
-std::optional<Instance> instanceOf(const Json &fields)
+std::optional<Instance> parseInstance(const Json &fields)
 {
     try {
         return Instance{
@@ -24,20 +24,20 @@
             .address = fields.at("address").get<std::string>(),
             .dataCentre = fields.value("data_centre", ""),
             .leaving = fields.value("leaving", false),
-            .operators = fields.value("operators", ""),
+            .operatorsAddress = fields.value("operators", ""),
         };
     } catch (const Json::exception &) {
         return std::nullopt;
     }
 }
 
-Result<std::vector<Instance>> instancesOf(const Result<http::Response> &response)
+Result<std::vector<Instance>> parseInstancesResponse(const Result<http::Response> &response)
 {
     if (!response) {
         return tl::unexpected<Failure>(response.error());
     }
     if (response->status != StatusOk) {
-        return tl::unexpected<Failure>(unexpectedAnswer(*response));
+        return tl::unexpected<Failure>(unexpectedStatus(*response));
     }
     const auto fields = readObject(response->body);
     if (!fields) {
@@ -45,11 +45,11 @@
     }
     const auto found = fields->find("instances");
     if (found == fields->end() || !found->is_array()) {
-        return tl::unexpected<Failure>(malformedAnswer());
+        return tl::unexpected<Failure>(malformedBody());
     }
     std::vector<Instance> instances;
     for (const Json &entry : *found) {
-        if (auto instance = instanceOf(entry)) {
+        if (auto instance = parseInstance(entry)) {
             instances.push_back(std::move(*instance));
         }
     }
@@ -58,7 +58,7 @@
 
 } // namespace
 
-class HttpInstances::Impl
+class HttpInstanceList::Impl
 {
 public:
     Impl(event_base *loop, const Options &options) : timeout(options.timeout), client(loop, {.address = options.address}) {}
@@ -67,14 +67,14 @@
     http::HttpClient client;
 };
 
-HttpInstances::HttpInstances(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
+HttpInstanceList::HttpInstanceList(event_base *loop, const Options &options) : impl_(std::make_unique<Impl>(loop, options)) {}
 
-HttpInstances::~HttpInstances() = default;
+HttpInstanceList::~HttpInstanceList() = default;
 
-void HttpInstances::fetch(InstancesCallback done)
+void HttpInstanceList::fetch(InstancesCallback done)
 {
     impl_->client.send({.method = "GET", .path = "/instances", .timeout = impl_->timeout},
-                       [done = std::move(done)](const Result<http::Response> &response) { done(instancesOf(response)); });
+                       [done = std::move(done)](const Result<http::Response> &response) { done(parseInstancesResponse(response)); });
 }
 
 } // namespace magnolia::store
