--- a/libs/forward/src/callersession.cpp
+++ b/libs/forward/src/callersession.cpp
@@ -265,8 +265,8 @@
 void CallerSession::onConnectionEnd()
 {
     const auto self = shared_from_this();
-    if (const auto left = std::exchange(activeRequest_, nullptr)) {
-        left->onCallerLeft();
+    if (const auto request = std::exchange(activeRequest_, nullptr)) {
+        request->onCallerLeft();
     }
     close();
 }
@@ -289,8 +289,8 @@
     }
     timer_.stop();
     connection_->close();
-    if (const auto ended = std::exchange(onEnd_, nullptr)) {
-        ended(this);
+    if (const auto onEnd = std::exchange(onEnd_, nullptr)) {
+        onEnd(this);
     }
 }
 
--- a/libs/forward/src/callersession.h
+++ b/libs/forward/src/callersession.h
@@ -16,7 +16,7 @@
 {
 
 /**
- * One connection of a caller. Serves its requests one at a time, in order, without pipelining.
+ * One connection of a caller. Serves its requests in order, each read only after the previous one has been answered.
  *
  * Owned through shared_ptr by the task until onEnd. Used on the thread of the event loop only.
  */
--- a/libs/forward/src/forwardedrequest.cpp
+++ b/libs/forward/src/forwardedrequest.cpp
@@ -338,7 +338,7 @@
     return writeRequest(context_.options.protocol,
                         {.request = &request_,
                          .expectedInstance = endpoint.record.id,
-                         .left = std::chrono::duration_cast<Duration>(timeLeft()),
+                         .timeLeft = std::chrono::duration_cast<Duration>(timeLeft()),
                          .organisation = organisation_ == nullptr ? std::string_view() : std::string_view(organisation_->name),
                          .priority = route_->kind == RouteKind::Stream ? priority() : std::nullopt,
                          .lastEventId = splitter_.lastId(),
@@ -379,7 +379,7 @@
                                    .atFault = atFault,
                                    .decision = decision,
                                    .took = BootClock::now() - sentAt_,
-                                   .inProgressThere = endpoint_->inFlight});
+                                   .concurrentRequests = endpoint_->inFlight});
 }
 
 /** Logs the state of the current attempt and its endpoint. Called before the attempt is cancelled. */
@@ -401,7 +401,7 @@
                                       .silence = now - heardAt_,
                                       .endpointSilence = now - endpoint_->silentSince(),
                                       .serviceSilence = now - context_.endpoints.serviceHeardAt(service_),
-                                      .inProgressThere = endpoint_->inFlight});
+                                      .concurrentRequests = endpoint_->inFlight});
 }
 
 /** Retries the request at another endpoint if its kind, its route and the retry budget allow. @return false if not. */
@@ -603,7 +603,8 @@
     }
     endAttempt(isUnsent ? EndpointSign::Unreachable : EndpointSign::Failed);
     if (isUnsent) {
-        // The request did not reach the endpoint: the attempt does not count against the route's limit on endpoints.
+        // The request did not reach the endpoint, so the attempt counts neither against the route's limit on endpoints nor as
+        // received by the endpoint.
         attempts_.forgetLast();
         endpoint_->avoidUntil = std::max(endpoint_->avoidUntil, BootClock::now() + routing::ConnectTimeout);
         const bool mayDialAgain = attempts_.count() <= context_.endpoints.ofService(service_).size();
@@ -785,7 +786,7 @@
 BootTime ForwardedRequest::answerDue() const
 {
     // A running stream may continue past that time if it can be cancelled at every endpoint that may be running it.
-    const bool mayGoOn = isStreaming_ && attempt_ != nullptr && !endpoint_->isSilent && !mayRunUnreachably_;
+    const bool mayGoOn = isStreaming_ && attempt_ != nullptr && !endpoint_->isSilent && !hasUncancellableAttempt_;
     return isReadingPaused_ || mayGoOn ? bounds_.deadline() : bounds_.nextEventDue();
 }
 
@@ -836,7 +837,7 @@
     }
     context_.connections.closeAll(endpoint_->record.id);
     mayHaveRun_ = true;
-    mayRunUnreachably_ = mayRunUnreachably_ || endpoint_->isSilent;
+    hasUncancellableAttempt_ = hasUncancellableAttempt_ || endpoint_->isSilent;
     context_.metrics.retries.add();
     hasRetried_ = true;
     logCancelledAttempt(cause);
--- a/libs/forward/src/forwardedrequest.h
+++ b/libs/forward/src/forwardedrequest.h
@@ -160,7 +160,7 @@
     BufferedAnswer incoming_;
     std::optional<BufferedAnswer> fallback_; ///< An endpoint's error answer, relayed if no later attempt succeeds.
 
-    bool mayRunUnreachably_ = false; ///< An unreachable endpoint may still run an earlier attempt, which can't be cancelled.
+    bool hasUncancellableAttempt_ = false; ///< An unreachable endpoint may still run an earlier attempt, which can't be cancelled.
     bool isReadingPaused_ = false; ///< Reading from the endpoint is paused until the caller has read what is queued.
     bool isStreaming_ = false; ///< The head of a stream has been sent to the caller.
     bool isStreamAnswer_ = false; ///< The answer of the current attempt is an event stream.
--- a/libs/forward/src/forwardtask.cpp
+++ b/libs/forward/src/forwardtask.cpp
@@ -30,7 +30,8 @@
 constexpr Duration StopCheckInterval{50};
 
 // For this long after the order to stop all requests are accepted: somewhat longer than a load balancer takes to notice.
-// Later ones, which it sends if no instance is ready, are accepted only if their deadline is before the end of the process.
+// Later ones, which it sends if no instance is ready, are accepted only if their deadline is before the end of the process,
+// since that would cut off a stream in progress.
 constexpr Duration StopAcceptPeriod{3000};
 constexpr Duration GraceMargin{400}; ///< How long before the kill the process exits.
 
--- a/libs/forward/src/livenessmonitor.cpp
+++ b/libs/forward/src/livenessmonitor.cpp
@@ -50,7 +50,7 @@
         lastTimerAt_ = BootClock::now();
         timer_.start(TimerInterval);
     }
-    Monitored &monitored = monitored_[endpoint->record.id];
+    MonitoredEndpoint &monitored = monitored_[endpoint->record.id];
     if (monitored.endpoint != endpoint) {
         (void)clearMarks(monitored);
         monitored = {.endpoint = endpoint, .callbacks = {}, .client = nullptr, .checkedAt = {}};
@@ -99,7 +99,7 @@
 }
 
 /** Clears the marks for suspected and unresponsive. @return true if the endpoint was marked unresponsive. */
-bool LivenessMonitor::clearMarks(const Monitored &monitored)
+bool LivenessMonitor::clearMarks(const MonitoredEndpoint &monitored)
 {
     if (monitored.endpoint == nullptr) {
         return false;
@@ -112,13 +112,13 @@
     return wasSilent;
 }
 
-bool LivenessMonitor::isIdle(const Monitored &monitored) const
+bool LivenessMonitor::isIdle(const MonitoredEndpoint &monitored) const
 {
     const bool isWanted = !monitored.callbacks.empty() || (monitored.endpoint->isSilent && monitored.endpoint->takesWork());
     return !isWanted;
 }
 
-bool LivenessMonitor::isCheckDue(const Monitored &monitored, BootTime now) const
+bool LivenessMonitor::isCheckDue(const MonitoredEndpoint &monitored, BootTime now) const
 {
     const routing::Endpoint &endpoint = *monitored.endpoint;
     if (endpoint.isInDoubt) {
@@ -134,7 +134,7 @@
     return now - endpoint.silentSince() >= patience && now - monitored.checkedAt >= CheckInterval;
 }
 
-void LivenessMonitor::startCheck(Monitored &monitored, BootTime now)
+void LivenessMonitor::startCheck(MonitoredEndpoint &monitored, BootTime now)
 {
     const std::string &id = monitored.endpoint->record.id;
     monitored.checkedAt = now;
@@ -153,7 +153,7 @@
     if (found == monitored_.end()) {
         return;
     }
-    Monitored &monitored = found->second;
+    MonitoredEndpoint &monitored = found->second;
     const BootTime now = BootClock::now();
     detectOwnDelay(now);
     monitored.endpoint->isInDoubt = false;
@@ -168,7 +168,7 @@
     }
 }
 
-void LivenessMonitor::markUnresponsive(Monitored &monitored, BootTime now)
+void LivenessMonitor::markUnresponsive(MonitoredEndpoint &monitored, BootTime now)
 {
     routing::Endpoint &endpoint = *monitored.endpoint;
     if (!std::exchange(endpoint.isSilent, true)) {
@@ -189,7 +189,7 @@
     }
 }
 
-void LivenessMonitor::markResponsive(Monitored &monitored, BootTime now)
+void LivenessMonitor::markResponsive(MonitoredEndpoint &monitored, BootTime now)
 {
     if (!clearMarks(monitored)) {
         return;
--- a/libs/forward/src/livenessmonitor.h
+++ b/libs/forward/src/livenessmonitor.h
@@ -53,7 +53,7 @@
     void removeRequest(std::string_view endpoint, const void *request);
 
 private:
-    struct Monitored {
+    struct MonitoredEndpoint {
         routing::EndpointPointer endpoint;
         std::unordered_map<const void *, std::function<void()>> callbacks; ///< By request in progress at the endpoint.
         std::unique_ptr<http::HttpClient> client; ///< Null until the first check.
@@ -62,19 +62,19 @@
 
     void checkAll();
     void detectOwnDelay(BootTime now);
-    bool clearMarks(const Monitored &monitored);
-    bool isIdle(const Monitored &monitored) const;
-    bool isCheckDue(const Monitored &monitored, BootTime now) const;
-    void startCheck(Monitored &monitored, BootTime now);
+    bool clearMarks(const MonitoredEndpoint &monitored);
+    bool isIdle(const MonitoredEndpoint &monitored) const;
+    bool isCheckDue(const MonitoredEndpoint &monitored, BootTime now) const;
+    void startCheck(MonitoredEndpoint &monitored, BootTime now);
     void onCheckEnd(const std::string &id, const Result<http::Response> &answer);
-    void markUnresponsive(Monitored &monitored, BootTime now);
-    void markResponsive(Monitored &monitored, BootTime now);
+    void markUnresponsive(MonitoredEndpoint &monitored, BootTime now);
+    void markResponsive(MonitoredEndpoint &monitored, BootTime now);
 
     event_base *loop_;
     const routing::EndpointTable &endpoints_;
     ForwardMetrics &metrics_;
     std::string path_;
-    routing::TextMap<Monitored> monitored_; ///< By endpoint id.
+    routing::TextMap<MonitoredEndpoint> monitored_; ///< By endpoint id.
     BootTime lastTimerAt_;
     BootTime lastDelayAt_; ///< When this process was last found to be delayed.
     http::Timer timer_;
--- a/libs/forward/src/outgoingrequest.cpp
+++ b/libs/forward/src/outgoingrequest.cpp
@@ -23,7 +23,7 @@
     headers.remove(protocol.organisation);
     headers.remove(protocol.notRun);
     headers.remove("expect");
-    headers.set(protocol.deadline, std::to_string(std::max<Duration::rep>(outgoing.left.count(), 1)));
+    headers.set(protocol.deadline, std::to_string(std::max<Duration::rep>(outgoing.timeLeft.count(), 1)));
     headers.set(protocol.expectedInstance, std::string(outgoing.expectedInstance));
     if (!outgoing.organisation.empty()) {
         headers.set(protocol.organisation, std::string(outgoing.organisation));
--- a/libs/forward/src/outgoingrequest.h
+++ b/libs/forward/src/outgoingrequest.h
@@ -18,7 +18,7 @@
 struct OutgoingRequest {
     const CallerRequest *request = nullptr;
     std::string_view expectedInstance{}; ///< Id of the only endpoint that may run the request.
-    Duration left{0}; ///< Remaining time until the deadline of caller and route.
+    Duration timeLeft{0}; ///< Remaining time until the deadline of caller and route.
     std::string_view organisation{}; ///< Holder of the caller's key; empty if the route needs no key.
     std::optional<routing::Priority> priority{};
     std::optional<std::uint64_t> lastEventId{}; ///< The stream resumes after this event.
--- a/libs/forward/src/requestlog.cpp
+++ b/libs/forward/src/requestlog.cpp
@@ -67,7 +67,7 @@
                 record.atFault,
                 record.decision,
                 milliseconds(record.took),
-                record.inProgressThere);
+                record.concurrentRequests);
 }
 
 void RequestLog::logCancelledAttempt(const CancelledAttemptRecord &record)
@@ -89,7 +89,7 @@
                 milliseconds(record.silence),
                 milliseconds(record.endpointSilence),
                 milliseconds(record.serviceSilence),
-                record.inProgressThere);
+                record.concurrentRequests);
 }
 
 void RequestLog::logRateLimit(std::string_view endpoint, std::optional<double> perSecond)
--- a/libs/forward/src/requestlog.h
+++ b/libs/forward/src/requestlog.h
@@ -45,7 +45,7 @@
     std::string_view atFault{};
     std::string_view decision{}; ///< What happens to the request next.
     BootClock::duration took{}; ///< From dispatch to the end of the attempt.
-    std::uint32_t inProgressThere = 0; ///< Other requests of this instance in progress at the endpoint.
+    std::uint32_t concurrentRequests = 0; ///< Other requests of this instance in progress at the endpoint.
 };
 
 /** An attempt that was cancelled while in progress. */
@@ -62,7 +62,7 @@
     BootClock::duration silence{}; ///< Time since the endpoint last sent data for this request.
     BootClock::duration endpointSilence{}; ///< Time since the endpoint last sent data for any request of this instance.
     BootClock::duration serviceSilence{}; ///< Time since any endpoint of the service last sent data for this instance.
-    std::uint32_t inProgressThere = 0; ///< Requests of this instance in progress at the endpoint, this one included.
+    std::uint32_t concurrentRequests = 0; ///< Requests of this instance in progress at the endpoint, this one included.
 };
 
 /**
