--- a/libs/ctl/src/deploymentreport.cpp
+++ b/libs/ctl/src/deploymentreport.cpp
@@ -121,12 +121,12 @@
             {"epoch", state.epoch},
             {"open", state.isOpen},
             {"step", state.step},
-            {"map", state.map},
-            {"prepared", state.prepared},
+            {"map", state.mapVersion},
+            {"prepared", state.preparedVersion},
             {"armed", state.armed ? Json({{"map", state.armed->version}, {"step", state.armed->step}}) : Json()},
-            {"held", state.held ? Json(*state.held) : Json()},
-            {"running", state.running},
-            {"waiting", state.waiting},
+            {"held", state.heldStep ? Json(*state.heldStep) : Json()},
+            {"running", state.runningRequests},
+            {"waiting", state.waitingRequests},
             {"pace", state.pace},
             {"experts", rank.held.experts}};
 }
@@ -183,7 +183,7 @@
     std::map<std::uint64_t, int> versions;
     for (const RankRecord &rank : ranks) {
         byRank[rank.state.rank] = toJson(rank);
-        ++versions[rank.state.map];
+        ++versions[rank.state.mapVersion];
     }
     Json list = Json::array();
     for (auto &[rank, document] : byRank) {
--- a/libs/ctl/tests/deploymenttest.cpp
+++ b/libs/ctl/tests/deploymenttest.cpp
@@ -78,7 +78,7 @@
             done(fail(ErrorCode::ConnectionLost, Verdict::MayHaveRun, "silent"));
             return;
         }
-        answer(group::RankState{.group = "g0", .epoch = 1, .rank = rank, .size = 2, .isOpen = true, .step = 812, .map = 4}, done);
+        answer(group::RankState{.group = "g0", .epoch = 1, .rank = rank, .size = 2, .isOpen = true, .step = 812, .mapVersion = 4}, done);
     }
     void readHeld(const std::string & /*address*/, const Callback<group::HeldExperts> &done)
     {
--- a/libs/group/benchmarks/coordinatorcost.cpp
+++ b/libs/group/benchmarks/coordinatorcost.cpp
@@ -28,9 +28,9 @@
 };
 
 /** The map that a group forms with: experts in turn. */
-RankExperts firstMap(const Shape &shape)
+ExpertMap firstMap(const Shape &shape)
 {
-    RankExperts map(shape.sets, std::vector<std::vector<std::uint16_t>>(shape.ranks));
+    ExpertMap map(shape.sets, std::vector<std::vector<std::uint16_t>>(shape.ranks));
     for (auto &set : map) {
         for (std::size_t expert = 0; expert < shape.experts; ++expert) {
             set[expert % shape.ranks].push_back(static_cast<std::uint16_t>(expert));
@@ -74,9 +74,9 @@
 void measure(const Shape &shape)
 {
     const std::string name = std::to_string(shape.ranks) + "_ranks_" + std::to_string(shape.sets) + "_sets_" + std::to_string(shape.experts) + "_experts";
-    const RankExperts map = firstMap(shape);
+    const ExpertMap map = firstMap(shape);
     const auto demand = demandOf(shape);
-    const ReplicaPlanner planner({.placesPerRank = shape.places, .mostNewPerSet = 2, .mostNewPerRank = shape.copiesPerRank, .leastGain = 0.01});
+    const ReplicaPlanner planner({.maxExpertsPerRank = shape.places, .maxCopiesPerSet = 2, .maxCopiesPerRank = shape.copiesPerRank, .minGain = 0.01});
     const auto plan = planner.plan(map, demand);
     if (!plan) {
         std::abort();
--- a/libs/group/include/group/engineport.h
+++ b/libs/group/include/group/engineport.h
@@ -35,8 +35,8 @@
     virtual ~EnginePort() = default;
     virtual void readState(std::function<void(Result<RankState>)> done) = 0;
     virtual void readCounts(std::function<void(Result<ExpertCounts>)> done) = 0;
-    virtual void readHeld(std::function<void(Result<HeldExperts>)> done) = 0;
-    virtual void order(const RankOrder &order, std::function<void(OrderOutcome)> done) = 0;
+    virtual void readHeldExperts(std::function<void(Result<HeldExperts>)> done) = 0;
+    virtual void sendOrder(const RankOrder &order, std::function<void(OrderOutcome)> done) = 0;
 };
 
 /** @return a port to the engine at an address, for a coordinator whose agent there has fallen silent. */
@@ -45,8 +45,8 @@
 /** An engine of the service, as the platform's list shows it. */
 struct MemberAddress {
     std::string id; ///< Of the engine's run.
-    std::string engine; ///< "IP:PORT" of the engine itself.
-    std::string agent; ///< "IP:PORT" where its agent takes links.
+    std::string engineAddress; ///< "IP:PORT" of the engine itself.
+    std::string agentAddress; ///< "IP:PORT" where its agent takes links.
 };
 
 /** Who coordinates a group: a row of the platform's store, changed only under the condition that it has not changed. */
@@ -64,10 +64,10 @@
     virtual void readCoordinator(const std::string &group, std::function<void(Result<CoordinatorRow>)> done) = 0;
 
     /** Writes the next row in place of the one that was read, if that still stands. @return its version, or nothing if another was first. */
-    virtual void takeCoordinator(const std::string &group,
-                                 const CoordinatorRow &read,
-                                 const CoordinatorRow &next,
-                                 std::function<void(Result<std::optional<std::uint64_t>>)> done) = 0;
+    virtual void replaceCoordinator(const std::string &group,
+                                    const CoordinatorRow &read,
+                                    const CoordinatorRow &next,
+                                    std::function<void(Result<std::optional<std::uint64_t>>)> done) = 0;
     virtual void listMembers(std::function<void(Result<std::vector<MemberAddress>>)> done) = 0;
 };
 
--- a/libs/group/include/group/grouptask.h
+++ b/libs/group/include/group/grouptask.h
@@ -20,23 +20,24 @@
     std::string instance{}; ///< Name of this agent; unique.
     std::string listenAddress{}; ///< "IP:PORT" for the coordinator's link.
     wire::LinkOptions links{};
-    double linkBytesPerSecond = 0; ///< Of the instance's network interface; 0: not known, maps are told as fast as they can be.
-    Duration poll{100}; ///< Between two looks at the engine; free from its own instance.
-    Duration switchPoll{30}; ///< The same while a change of map is in progress: each step of it waits for a report.
-    Duration patience{700}; ///< Without a coordinator's word for so long another takes its place.
-    Duration heldPatience{250}; ///< The same for the agent whose rank holds a pass: its group stands still, and a coordinator sends a word each 60 ms then.
+    double interfaceBytesPerSecond = 0; ///< Of the instance's network interface; 0: not known, maps are told as fast as they can be.
+    Duration pollInterval{100}; ///< Between two looks at the engine; free from its own instance.
+    Duration switchPollInterval{30}; ///< The same while a change of map is in progress: each step of it waits for a report.
+    Duration coordinatorTimeout{700}; ///< Without a coordinator's word for so long another takes its place.
+    Duration heldCoordinatorTimeout{
+        250}; ///< The same for the agent whose rank holds a pass: its group stands still, and a coordinator sends a word each 60 ms then.
     Duration demandHalfLife{200}; ///< Age at which a choice of an expert counts half.
     Duration planInterval{100}; ///< Between two looks for a better map.
-    std::size_t experts = 0; ///< In each set.
-    std::size_t placesPerRank = 0; ///< In each set; 0: read by the store's layout.
-    std::size_t mostNewPerSet = 4;
+    std::size_t expertsPerSet = 0; ///< In each set.
+    std::size_t maxExpertsPerRank = 0; ///< In each set; 0: read by the store's layout.
+    std::size_t maxCopiesPerSet = 4;
     std::chrono::duration<double> copyTime{0.4}; ///< Of one expert to one rank.
     /**
      * For which ranks copy in one change of map, at one expert least; as long as the rest of a change takes. The most wanted
      * replicas come first, and what comes later is chosen by newer demand.
      */
-    Duration changeTime{100};
-    double leastGain = 0.08;
+    Duration copyTimeBudget{100};
+    double minGain = 0.08;
     Duration pauseObjective{0}; ///< Longest pause that routes allow between two events of a stream; 0: none stated.
 };
 
--- a/libs/group/include/group/mapswitch.h
+++ b/libs/group/include/group/mapswitch.h
@@ -83,7 +83,7 @@
     void told(std::uint32_t rank, std::uint64_t version);
 
     /** Begins a switch; only when idle. @param current experts in use, to fall back to. */
-    void begin(RankExperts map, RankExperts current, BootTime now);
+    void begin(ExpertMap map, ExpertMap current, BootTime now);
 
     /** @return orders to be given now. */
     std::vector<AddressedOrder> due(BootTime now);
@@ -104,7 +104,7 @@
     static std::uint64_t termOf(std::uint64_t version);
 
     /** The map in use, in case a switch of a predecessor has to be undone. */
-    void setCurrent(RankExperts current)
+    void setCurrent(ExpertMap current)
     {
         current_ = std::move(current);
     }
--- a/libs/group/include/group/rankstate.h
+++ b/libs/group/include/group/rankstate.h
@@ -29,12 +29,12 @@
     std::uint32_t size = 0; ///< Ranks of the group.
     bool isOpen = false; ///< The group runs passes.
     std::uint64_t step = 0; ///< The last pass that was begun.
-    std::uint64_t map = 0; ///< Version in use; 0 is the one that a group forms with.
-    std::uint64_t prepared = 0; ///< Version that is there whole, to be armed; 0: none.
+    std::uint64_t mapVersion = 0; ///< Version in use; 0 is the one that a group forms with.
+    std::uint64_t preparedVersion = 0; ///< Version that is there whole, to be armed; 0: none.
     std::optional<ArmedMap> armed{};
-    std::optional<std::uint64_t> held{}; ///< The pass that does not begin until it is let go.
-    std::uint32_t running = 0;
-    std::uint32_t waiting = 0;
+    std::optional<std::uint64_t> heldStep{}; ///< The pass that does not begin until it is let go.
+    std::uint32_t runningRequests = 0;
+    std::uint32_t waitingRequests = 0;
     double pace = 1; ///< Above 1 it is slow.
     std::uint64_t incarnation = 0; ///< Unix millisecond of the engine's start; 0: not stated.
 
@@ -42,19 +42,19 @@
 };
 
 /** Experts by set, then by rank. */
-using RankExperts = std::vector<std::vector<std::vector<std::uint16_t>>>;
+using ExpertMap = std::vector<std::vector<std::vector<std::uint16_t>>>;
 
 /** A map that many orders carry without copying it: one of many ranks has thousands of lists. Never changes once it is made. */
 class SharedMap
 {
 public:
     SharedMap() = default;
-    SharedMap(RankExperts map) : map_(std::make_shared<const RankExperts>(std::move(map))) {} // NOLINT(google-explicit-constructor): the same value
+    SharedMap(ExpertMap map) : map_(std::make_shared<const ExpertMap>(std::move(map))) {} // NOLINT(google-explicit-constructor): the same value
 
     /** @return an empty one where there is none. */
-    const RankExperts &operator*() const
+    const ExpertMap &operator*() const
     {
-        static const RankExperts none;
+        static const ExpertMap none;
         return map_ ? *map_ : none;
     }
     bool empty() const
@@ -63,11 +63,11 @@
     }
 
 private:
-    std::shared_ptr<const RankExperts> map_;
+    std::shared_ptr<const ExpertMap> map_;
 };
 
 enum class RankOrderKind : std::uint8_t {
-    Follow, ///< Nothing to do: says who coordinates.
+    Heartbeat, ///< Nothing to do: says who coordinates.
     Prepare, ///< Take on what a map needs.
     Arm, ///< Use the prepared map from a pass on.
     Disarm,
@@ -80,7 +80,7 @@
 
 /** One order to one rank. */
 struct RankOrder {
-    RankOrderKind kind = RankOrderKind::Follow;
+    RankOrderKind kind = RankOrderKind::Heartbeat;
     std::uint64_t epoch = 0;
     std::uint64_t version = 0; ///< Of Prepare, Arm and Disarm.
     std::uint64_t step = 0; ///< Of Arm, Hold and Release.
--- a/libs/group/include/group/replicaplanner.h
+++ b/libs/group/include/group/replicaplanner.h
@@ -14,7 +14,7 @@
 
 /** A map that is worth changing to. */
 struct ReplicaPlan {
-    RankExperts map;
+    ExpertMap map;
     std::size_t copies = 0; ///< Experts that ranks have to take on, in all.
     double loadBefore = 0; ///< Sum over sets of the most loaded rank's work, where an even spread of a set has 1.
     double loadAfter = 0;
@@ -41,10 +41,10 @@
 {
 public:
     struct Options {
-        std::size_t placesPerRank = 0; ///< In each set.
-        std::size_t mostNewPerSet = 0; ///< Copies of one rank in one set that the engine takes in one change.
-        std::size_t mostNewPerRank = 0; ///< Copies of one rank in all: bounds the time that a change takes.
-        double leastGain = 0.05; ///< Least relative fall of the load for which a change is worth its copies.
+        std::size_t maxExpertsPerRank = 0; ///< In each set.
+        std::size_t maxCopiesPerSet = 0; ///< Copies of one rank in one set that the engine takes in one change.
+        std::size_t maxCopiesPerRank = 0; ///< Copies of one rank in all: bounds the time that a change takes.
+        double minGain = 0.05; ///< Least relative fall of the load for which a change is worth its copies.
     };
 
     explicit ReplicaPlanner(Options options) : options_(options) {}
@@ -54,10 +54,10 @@
      * @param paces by rank, how many times as long as usual it takes; 1 where none is given.
      * @return nothing if no change is worth it.
      */
-    std::optional<ReplicaPlan> plan(const RankExperts &current, std::span<const std::vector<double>> shares, std::span<const double> paces = {}) const;
+    std::optional<ReplicaPlan> plan(const ExpertMap &current, std::span<const std::vector<double>> shares, std::span<const double> paces = {}) const;
 
     /** @return sum over sets of the slowest rank's time; 1 for each set with an even spread and no slow rank. */
-    static double load(const RankExperts &map, std::span<const std::vector<double>> shares, std::span<const double> paces = {});
+    static double load(const ExpertMap &map, std::span<const std::vector<double>> shares, std::span<const double> paces = {});
 
 private:
     Options options_;
--- a/libs/group/src/coordinator.cpp
+++ b/libs/group/src/coordinator.cpp
@@ -42,7 +42,7 @@
 
 std::size_t copiesInTime(const GroupOptions &options)
 {
-    const double copies = std::chrono::duration<double>(options.changeTime) / options.copyTime;
+    const double copies = std::chrono::duration<double>(options.copyTimeBudget) / options.copyTime;
     return static_cast<std::size_t>(std::max(copies, 1.0));
 }
 
@@ -73,11 +73,11 @@
     , reach_(RankReach::Options{})
     , begunAt_(BootClock::now())
     , policy_({.pauseObjective = options.pauseObjective, .copyTime = options.copyTime})
-    , planner_({.placesPerRank = options.placesPerRank,
-                .mostNewPerSet = options.mostNewPerSet,
-                .mostNewPerRank = copiesInTime(options),
-                .leastGain = options.leastGain})
-    , pacer_({.bytesPerSecond = options.linkBytesPerSecond * BulkPart})
+    , planner_({.maxExpertsPerRank = options.maxExpertsPerRank,
+                .maxCopiesPerSet = options.maxCopiesPerSet,
+                .maxCopiesPerRank = copiesInTime(options),
+                .minGain = options.minGain})
+    , pacer_({.bytesPerSecond = options.interfaceBytesPerSecond * BulkPart})
     , demand_(options.demandHalfLife)
     , switches_(metrics.counter("magnolia_group_switches_total", "Changes of the expert map that were begun."))
     , copies_(metrics.counter("magnolia_group_copies_total", "Experts that ranks were told to take on."))
@@ -109,8 +109,8 @@
         return std::none_of(members.begin(), members.end(), [&known](const MemberAddress &member) { return member.id == known.first; });
     });
     for (const MemberAddress &member : members) {
-        if (member.agent == options_.listenAddress) {
-            ownEngine_ = member.engine;
+        if (member.agentAddress == options_.listenAddress) {
+            ownEngine_ = member.engineAddress;
         } else if (!members_.contains(member.id) && !strangers_.contains(member.id)) {
             dialMember(member);
         }
@@ -120,10 +120,10 @@
 void Coordinator::dialMember(const MemberAddress &member)
 {
     const std::string id = member.id;
-    members_[id].engineAddress = member.engine;
+    members_[id].engineAddress = member.engineAddress;
     members_[id].dialledAt = BootClock::now();
     wire::LinkDialer::Callbacks callbacks;
-    callbacks.onUp = [this, id](const wire::PeerInfo &) { members_[id].link->send(commandFor({.kind = RankOrderKind::Follow})); };
+    callbacks.onUp = [this, id](const wire::PeerInfo &) { members_[id].link->send(commandFor({.kind = RankOrderKind::Heartbeat})); };
     callbacks.onMessage = [this, id](wire::Message &&message) {
         if (const auto *report = std::get_if<wire::RankReport>(&message)) {
             takeMemberReport(id, *report);
@@ -131,7 +131,7 @@
     };
     callbacks.onDown = [](const Failure &) {};
     callbacks.onPeerLost = [id](const Failure &failure) { log()->info("Agent lost id={} cause={}", id, failure.detail); };
-    members_[id].link = wire::LinkDialer::dial(loop_, member.agent, options_.links, std::move(callbacks));
+    members_[id].link = wire::LinkDialer::dial(loop_, member.agentAddress, options_.links, std::move(callbacks));
 }
 
 void Coordinator::takeMemberReport(const std::string &id, const wire::RankReport &report)
@@ -258,7 +258,7 @@
     }
     members_[id].rank = state.rank;
     reach_.engineAsked(state.rank, askedAt);
-    if (!held_.knows(state.rank, state.map)) {
+    if (!held_.knows(state.rank, state.mapVersion)) {
         askHeld(id, state.rank);
     }
     switch_.reported(state, now);
@@ -266,7 +266,7 @@
 
 void Coordinator::askHeld(const std::string &id, std::uint32_t rank)
 {
-    members_[id].engine->readHeld([this, rank, alive = std::weak_ptr<bool>(alive_)](Result<HeldExperts> held) {
+    members_[id].engine->readHeldExperts([this, rank, alive = std::weak_ptr<bool>(alive_)](Result<HeldExperts> held) {
         if (!alive.expired() && held && held->epoch == heldEpoch_) {
             held_.note(rank, held->version, std::move(held->experts));
         }
@@ -308,7 +308,7 @@
 void Coordinator::sendFollow()
 {
     followedAt_ = BootClock::now();
-    const wire::RankCommand follow = commandFor({.kind = RankOrderKind::Follow});
+    const wire::RankCommand follow = commandFor({.kind = RankOrderKind::Heartbeat});
     for (const auto &[id, member] : members_) {
         member.link->send(follow);
     }
@@ -334,7 +334,7 @@
     }
     for (auto &[id, member] : members_) {
         if (member.rank == rank && member.link->isUp()) {
-            engineOf(member).order(order, [](OrderOutcome) {}); // What it did is read from the engine.
+            engineOf(member).sendOrder(order, [](OrderOutcome) {}); // What it did is read from the engine.
             return;
         }
     }
@@ -363,7 +363,7 @@
         }
         if (isInSwitch() && member.engine != nullptr && reach_.isSilent(rank, now) && reach_.mayAddress(now)) {
             log()->info("Order given past a silent agent rank={} kind={} version={} step={}", rank, toString(order.kind), order.version, order.step);
-            member.engine->order(order, [](OrderOutcome) {}); // What it did is read from the engine.
+            member.engine->sendOrder(order, [](OrderOutcome) {}); // What it did is read from the engine.
             return;
         }
         // An engine that was restarted has a second entry of the same rank; the earlier one's link is down.
@@ -449,7 +449,7 @@
 }
 
 /** @return nothing while ranks report different versions. Joined only when a rank's experts changed: reports come often. */
-const std::optional<RankExperts> &Coordinator::currentMap()
+const std::optional<ExpertMap> &Coordinator::currentMap()
 {
     if (held_.takeNews()) {
         noteMap();
@@ -460,9 +460,9 @@
 void Coordinator::noteMap()
 {
     currentMap_ = held_.joined(switch_.size());
-    courier_.setBase(currentMap_ ? held_.version() : 0, currentMap_.value_or(RankExperts()));
+    courier_.setBase(currentMap_ ? held_.version() : 0, currentMap_.value_or(ExpertMap()));
     const auto absent = switch_.vouchedRank();
-    const auto fallback = currentMap_ || !absent ? currentMap_ : held_.joinedWithout(*absent, switch_.size(), options_.experts);
+    const auto fallback = currentMap_ || !absent ? currentMap_ : held_.joinedWithout(*absent, switch_.size(), options_.expertsPerSet);
     if (fallback) {
         switch_.setCurrent(*fallback);
     }
--- a/libs/group/src/coordinator.h
+++ b/libs/group/src/coordinator.h
@@ -112,7 +112,7 @@
     EnginePort &engineOf(Member &member);
     wire::RankCommand commandFor(const RankOrder &order) const;
     void vouchForPredecessor(BootTime now);
-    const std::optional<RankExperts> &currentMap();
+    const std::optional<ExpertMap> &currentMap();
     void noteMap();
     std::vector<double> rankPaces() const;
 
@@ -139,7 +139,7 @@
     std::set<std::string> strangers_; ///< Ids of engines of other groups.
     HeldMaps held_;
     std::optional<std::uint64_t> heldEpoch_; ///< Of held_ and reach_; nothing before the first report.
-    std::optional<RankExperts> currentMap_; ///< Joined from held_.
+    std::optional<ExpertMap> currentMap_; ///< Joined from held_.
     bool isOvertaken_ = false;
     ExpertDemand demand_;
     BootTime plannedAt_;
--- a/libs/group/src/coordinatorterm.cpp
+++ b/libs/group/src/coordinatorterm.cpp
@@ -15,13 +15,13 @@
 
 } // namespace
 
-CoordinatorRow successorOf(const CoordinatorRow &read, std::uint64_t followed, const std::string &holder)
+CoordinatorRow nextCoordinatorRow(const CoordinatorRow &read, std::uint64_t followed, const std::string &holder)
 {
     const std::uint64_t firstOfEra = store::eraOf(read.version) << TermBits;
     return {.term = std::max({read.term + 1, followed + 1, firstOfEra}), .holder = holder, .version = 0};
 }
 
-bool isOfSameHistory(const CoordinatorRow &read, std::uint64_t writtenVersion)
+bool isInSameStoreEra(const CoordinatorRow &read, std::uint64_t writtenVersion)
 {
     return store::eraOf(writtenVersion) == store::eraOf(read.version);
 }
--- a/libs/group/src/groupcodec.cpp
+++ b/libs/group/src/groupcodec.cpp
@@ -13,12 +13,12 @@
 
 constexpr double Thousand = 1000;
 
-Result<RankExperts> mapOf(const wire::RankCommand &command, const KnownMaps &known)
+Result<ExpertMap> mapOf(const wire::RankCommand &command, const KnownMaps &known)
 {
     if (command.mapBase == 0) {
         return decodeMap(command.map);
     }
-    const RankExperts *base = known.find(command.mapBase);
+    const ExpertMap *base = known.find(command.mapBase);
     if (base == nullptr) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "a change of a map that is not known: " + std::to_string(command.mapBase));
     }
@@ -36,14 +36,14 @@
     report.size = state.size;
     report.isOpen = state.isOpen;
     report.step = state.step;
-    report.map = state.map;
-    report.prepared = state.prepared;
+    report.map = state.mapVersion;
+    report.prepared = state.preparedVersion;
     report.armedVersion = state.armed ? state.armed->version : 0;
     report.armedStep = state.armed ? state.armed->step : 0;
-    report.isHeld = state.held.has_value();
-    report.heldStep = state.held.value_or(0);
-    report.running = state.running;
-    report.waiting = state.waiting;
+    report.isHeld = state.heldStep.has_value();
+    report.heldStep = state.heldStep.value_or(0);
+    report.running = state.runningRequests;
+    report.waiting = state.waitingRequests;
     report.paceThousandths = static_cast<std::uint32_t>(std::lround(state.pace * Thousand));
     return report;
 }
@@ -57,16 +57,16 @@
     state.size = report.size;
     state.isOpen = report.isOpen;
     state.step = report.step;
-    state.map = report.map;
-    state.prepared = report.prepared;
+    state.mapVersion = report.map;
+    state.preparedVersion = report.prepared;
     if (report.armedVersion > 0) {
         state.armed = ArmedMap{.version = report.armedVersion, .step = report.armedStep};
     }
     if (report.isHeld) {
-        state.held = report.heldStep;
+        state.heldStep = report.heldStep;
     }
-    state.running = report.running;
-    state.waiting = report.waiting;
+    state.runningRequests = report.running;
+    state.waitingRequests = report.waiting;
     state.pace = report.paceThousandths / Thousand;
     return state;
 }
--- a/libs/group/src/grouptask.cpp
+++ b/libs/group/src/grouptask.cpp
@@ -55,8 +55,8 @@
 bool isNewsForSwitch(const RankState &before, RankState now)
 {
     now.step = before.step;
-    now.running = before.running;
-    now.waiting = before.waiting;
+    now.runningRequests = before.runningRequests;
+    now.waitingRequests = before.waitingRequests;
     now.pace = before.pace;
     return now != before;
 }
@@ -184,19 +184,19 @@
 /** How long this agent waits for a coordinator's word before it takes its place. */
 Duration GroupTaskImpl::patience() const
 {
-    if (state_->held) {
-        return options_.heldPatience;
+    if (state_->heldStep) {
+        return options_.heldCoordinatorTimeout;
     }
     const std::uint32_t size = std::max(state_->size, 1U); // An engine may say anything of itself.
     const std::uint32_t before = followed_.term > 0 ? followed_.rank + 1 : 0; // Counted from 1; 0: no coordinator was followed yet.
     const std::uint32_t turn = (state_->rank % size + size - before % size) % size;
-    return options_.patience + Turn * std::min(turn, MostTurns) + (turn < MostTurns ? Duration(0) : spread_);
+    return options_.coordinatorTimeout + Turn * std::min(turn, MostTurns) + (turn < MostTurns ? Duration(0) : spread_);
 }
 
 void GroupTaskImpl::poll()
 {
     const bool isSwitching = BootClock::now() < commandedAt_ + SwitchTime;
-    pollTimer_.start(isSwitching ? options_.switchPoll : options_.poll);
+    pollTimer_.start(isSwitching ? options_.switchPollInterval : options_.pollInterval);
     engine_.readState(guarded<Result<RankState>>([this](Result<RankState> state) {
         if (state) {
             takeState(*state);
@@ -228,13 +228,13 @@
     }
     if (state.isOpen && (!before || !before->isOpen)) {
         // All agents see the group open at the same moment, most of them long without a coordinator's word.
-        heardAt_ = std::max(heardAt_, BootClock::now() - options_.patience);
+        heardAt_ = std::max(heardAt_, BootClock::now() - options_.coordinatorTimeout);
     }
     const bool hasChanged = !before || isNewsForSwitch(*before, state);
     readHeldIfNew();
     contendIfSilent();
     const BootTime now = BootClock::now();
-    if (now < countedAt_ + options_.poll) {
+    if (now < countedAt_ + options_.pollInterval) {
         if (hasChanged) {
             publish();
         }
@@ -266,10 +266,10 @@
 void GroupTaskImpl::readHeldIfNew()
 {
     // Versions begin anew with each epoch.
-    if (isHeldKnown_ && held_.version == state_->map && held_.epoch == state_->epoch) {
+    if (isHeldKnown_ && held_.version == state_->mapVersion && held_.epoch == state_->epoch) {
         return;
     }
-    engine_.readHeld(guarded<Result<HeldExperts>>([this](Result<HeldExperts> held) {
+    engine_.readHeldExperts(guarded<Result<HeldExperts>>([this](Result<HeldExperts> held) {
         if (held) {
             held_ = std::move(*held);
             isHeldKnown_ = true;
@@ -286,7 +286,7 @@
     wire::RankReport report = reportOf(*state_);
     report.term = term_;
     putMemory(report, memory_);
-    report.knownMap = known_.find(state_->map) != nullptr ? state_->map : 0;
+    report.knownMap = known_.find(state_->mapVersion) != nullptr ? state_->mapVersion : 0;
     if (isHeldKnown_ && held_.epoch == state_->epoch && isExpertsTurn()) {
         report.expertsVersion = held_.version;
         report.experts = encodeSetExperts(held_.experts);
@@ -347,7 +347,7 @@
     }
     if (!command.peerEngine.empty()) {
         armPeer(*order, command.peerEngine, command.peerRank);
-    } else if (order->kind != RankOrderKind::Follow) {
+    } else if (order->kind != RankOrderKind::Heartbeat) {
         carryOut(*order);
     }
 }
@@ -368,7 +368,7 @@
     if (engine == nullptr) {
         engine = dialEngine_(address);
     }
-    engine->order(
+    engine->sendOrder(
         order, guarded<OrderOutcome>([this, given](OrderOutcome outcome) {
             const bool isThis = memory_.peerArm && memory_.peerArm->version == given.version && memory_.peerArm->step == given.step;
             log()->debug(
@@ -383,7 +383,7 @@
 void GroupTaskImpl::carryOut(const RankOrder &order)
 {
     if (order.kind == RankOrderKind::Prepare) {
-        known_.tell(order.version, order.map, state_ ? state_->map : 0);
+        known_.tell(order.version, order.map, state_ ? state_->mapVersion : 0);
         memory_.told = order.version;
         memory_.isFresh = order.isFresh;
         preparing_ = order;
@@ -406,7 +406,7 @@
 void GroupTaskImpl::give(const RankOrder &order)
 {
     commandedAt_ = BootClock::now();
-    engine_.order(
+    engine_.sendOrder(
         order, guarded<OrderOutcome>([this, kind = order.kind, version = order.version, step = order.step](OrderOutcome outcome) {
             const bool isAnswered = outcome != OrderOutcome::Unknown;
             if (isAnswered && kind == RankOrderKind::Prepare && version == preparing_.version) {
@@ -451,12 +451,12 @@
     if (hasChanged && row.term > 0 && row.holder != options_.instance) {
         return; // Somebody has just taken it, and will be heard of soon.
     }
-    const CoordinatorRow next = successorOf(row, term_, options_.instance);
-    store_.takeCoordinator(
+    const CoordinatorRow next = nextCoordinatorRow(row, term_, options_.instance);
+    store_.replaceCoordinator(
         state_->group, row, next, guarded<Result<std::optional<std::uint64_t>>>([this, row, next](Result<std::optional<std::uint64_t>> version) {
             if (!version) {
                 log()->warn("The coordinator's row can't be taken cause={}", version.error().detail);
-            } else if (*version && isOfSameHistory(row, **version) && next.term > term_) {
+            } else if (*version && isInSameStoreEra(row, **version) && next.term > term_) {
                 becomeCoordinator(next.term);
             }
         }));
--- a/libs/group/src/heldmaps.cpp
+++ b/libs/group/src/heldmaps.cpp
@@ -38,13 +38,13 @@
     });
 }
 
-std::optional<RankExperts> HeldMaps::joined(std::size_t ranks) const
+std::optional<ExpertMap> HeldMaps::joined(std::size_t ranks) const
 {
     if (ranks == 0 || held_.size() != ranks || !isSameEverywhere()) {
         return std::nullopt; // Some are missing, or a switch has not been seen everywhere yet.
     }
     const std::size_t sets = held_.begin()->second.experts.size();
-    RankExperts map(sets, std::vector<std::vector<std::uint16_t>>(ranks));
+    ExpertMap map(sets, std::vector<std::vector<std::uint16_t>>(ranks));
     for (const auto &[rank, held] : held_) {
         for (std::size_t set = 0; set < sets; ++set) {
             map[set].at(rank) = held.experts[set];
@@ -53,13 +53,13 @@
     return map;
 }
 
-std::optional<RankExperts> HeldMaps::joinedWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const
+std::optional<ExpertMap> HeldMaps::joinedWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const
 {
     if (held_.empty() || held_.size() + 1 != ranks || held_.contains(absent) || !isSameEverywhere()) {
         return std::nullopt;
     }
     const std::size_t sets = held_.begin()->second.experts.size();
-    RankExperts map(sets, std::vector<std::vector<std::uint16_t>>(ranks));
+    ExpertMap map(sets, std::vector<std::vector<std::uint16_t>>(ranks));
     for (std::size_t set = 0; set < sets; ++set) {
         std::vector<bool> isHeld(experts, false);
         for (const auto &[rank, held] : held_) {
--- a/libs/group/src/heldmaps.h
+++ b/libs/group/src/heldmaps.h
@@ -37,13 +37,13 @@
     bool takeNews();
 
     /** @return nothing while ranks are missing or hold different versions. */
-    std::optional<RankExperts> joined(std::size_t ranks) const;
+    std::optional<ExpertMap> joined(std::size_t ranks) const;
 
     /**
      * The map in use as far as all ranks but one tell it: the absent one holds at least what no other does. Prepared in place of a
      * map that is given up, it costs no rank a copy, and it is never armed.
      */
-    std::optional<RankExperts> joinedWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const;
+    std::optional<ExpertMap> joinedWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const;
 
     /** @return that of the joined map; only if there is one. */
     std::uint64_t version() const
--- a/libs/group/src/knownmaps.h
+++ b/libs/group/src/knownmaps.h
@@ -32,7 +32,7 @@
     }
 
     /** @return nothing if it was not told. Valid until the next call of tell(). */
-    const RankExperts *find(std::uint64_t version) const
+    const ExpertMap *find(std::uint64_t version) const
     {
         for (const Known &known : maps_) {
             if (known.version == version) {
--- a/libs/group/src/mapcodec.cpp
+++ b/libs/group/src/mapcodec.cpp
@@ -54,7 +54,7 @@
     return rest;
 }
 
-bool isSameShape(const RankExperts &one, const RankExperts &other)
+bool isSameShape(const ExpertMap &one, const ExpertMap &other)
 {
     return std::equal(
         one.begin(), one.end(), other.begin(), other.end(), [](const auto &ofOne, const auto &ofOther) { return ofOne.size() == ofOther.size(); });
@@ -102,7 +102,7 @@
 
 } // namespace
 
-std::string encodeMap(const RankExperts &map)
+std::string encodeMap(const ExpertMap &map)
 {
     PackedWriter writer;
     writer.put(map.size());
@@ -115,10 +115,10 @@
     return writer.packed();
 }
 
-Result<RankExperts> decodeMap(std::string_view packed)
+Result<ExpertMap> decodeMap(std::string_view packed)
 {
     return readWhole(packed, [](PackedReader &reader) {
-        RankExperts map(reader.takeSize());
+        ExpertMap map(reader.takeSize());
         for (auto &set : map) {
             set = takeLists(reader);
         }
@@ -126,7 +126,7 @@
     });
 }
 
-std::string encodeMapChange(const RankExperts &base, const RankExperts &map)
+std::string encodeMapChange(const ExpertMap &base, const ExpertMap &map)
 {
     if (!isSameShape(base, map)) {
         return {};
@@ -144,7 +144,7 @@
     return writer.packed();
 }
 
-Result<RankExperts> applyMapChange(RankExperts base, std::string_view packed)
+Result<ExpertMap> applyMapChange(ExpertMap base, std::string_view packed)
 {
     std::uint64_t distance = 0;
     auto changed = readWhole(packed, [&base, &distance](PackedReader &reader) {
--- a/libs/group/src/mapcodec.h
+++ b/libs/group/src/mapcodec.h
@@ -15,14 +15,14 @@
 
 using SetExperts = std::vector<std::vector<std::uint16_t>>; ///< Of one rank, by set.
 
-std::string encodeMap(const RankExperts &map);
-Result<RankExperts> decodeMap(std::string_view packed);
+std::string encodeMap(const ExpertMap &map);
+Result<ExpertMap> decodeMap(std::string_view packed);
 
 /** What leads from one map to another of the same shape, place by place; empty if they have different shapes. */
-std::string encodeMapChange(const RankExperts &base, const RankExperts &map);
+std::string encodeMapChange(const ExpertMap &base, const ExpertMap &map);
 
 /** @return the changed map, or a failure if the change does not fit the base. */
-Result<RankExperts> applyMapChange(RankExperts base, std::string_view packed);
+Result<ExpertMap> applyMapChange(ExpertMap base, std::string_view packed);
 
 std::string encodeSetExperts(const SetExperts &experts);
 Result<SetExperts> decodeSetExperts(std::string_view packed);
--- a/libs/group/src/mapcourier.cpp
+++ b/libs/group/src/mapcourier.cpp
@@ -7,7 +7,7 @@
 namespace magnolia::group
 {
 
-void MapCourier::setBase(std::uint64_t version, RankExperts map)
+void MapCourier::setBase(std::uint64_t version, ExpertMap map)
 {
     base_ = version;
     baseMap_ = std::move(map);
--- a/libs/group/src/mapcourier.h
+++ b/libs/group/src/mapcourier.h
@@ -31,14 +31,14 @@
     };
 
     /** @param version of the map in use; 0: what it is made of is not known to any agent. */
-    void setBase(std::uint64_t version, RankExperts map);
+    void setBase(std::uint64_t version, ExpertMap map);
 
     /** @param knownMap version of the map that the agent says it knows; 0: none. */
     Form formFor(const RankOrder &order, std::uint64_t knownMap);
 
 private:
     std::uint64_t base_ = 0;
-    RankExperts baseMap_;
+    ExpertMap baseMap_;
     std::uint64_t version_ = 0; ///< Of the order that the forms are of.
     std::string whole_; ///< Empty until an agent needs it.
     std::string change_; ///< The same.
--- a/libs/group/src/mapswitch.cpp
+++ b/libs/group/src/mapswitch.cpp
@@ -20,7 +20,7 @@
 std::string_view toString(RankOrderKind kind)
 {
     switch (kind) {
-    case RankOrderKind::Follow:
+    case RankOrderKind::Heartbeat:
         return "follow";
     case RankOrderKind::Prepare:
         return "prepare";
@@ -154,7 +154,7 @@
 std::optional<std::uint32_t> MapSwitch::holder() const
 {
     for (const Member &member : ranks_) {
-        if (member.state && member.state->held) {
+        if (member.state && member.state->heldStep) {
             return member.state->rank;
         }
     }
@@ -173,7 +173,7 @@
     return options_.term * VersionsPerTerm + ++count_;
 }
 
-void MapSwitch::begin(RankExperts map, RankExperts current, BootTime now)
+void MapSwitch::begin(ExpertMap map, ExpertMap current, BootTime now)
 {
     map_ = std::move(map);
     current_ = std::move(current);
@@ -200,7 +200,7 @@
     }
     const ArmedMap first = *armed->state->armed;
     const bool isArmedEverywhere = all([&first](const RankState &state) { return state.armed == first; });
-    const bool isProtected = held && *ranks_[*held].state->held <= first.step;
+    const bool isProtected = held && *ranks_[*held].state->heldStep <= first.step;
     if (isArmedEverywhere || !isProtected) {
         // Without a hold before that pass it has been released, which is done only once all are armed: a rank that does not
         // report so has begun it, or was asked before. To disarm one now could split the group.
@@ -227,14 +227,14 @@
         }
         break;
     case Phase::Preparing:
-        if (all([this](const RankState &state) { return state.prepared == version_; })) {
+        if (all([this](const RankState &state) { return state.preparedVersion == version_; })) {
             step_ = nextStep(options_.stepsAhead);
             holder_ = usualHolder();
             enter(Phase::Holding, now);
         }
         break;
     case Phase::Holding:
-        if (all([this](const RankState &state) { return state.rank == holder_ ? state.held == step_ : !state.held; })) {
+        if (all([this](const RankState &state) { return state.rank == holder_ ? state.heldStep == step_ : !state.heldStep; })) {
             enter(Phase::Arming, now);
         }
         break;
@@ -244,7 +244,7 @@
         }
         break;
     case Phase::Releasing:
-        if (allReached([this](const RankState &state) { return state.map == version_ && !state.armed; })) {
+        if (allReached([this](const RankState &state) { return state.mapVersion == version_ && !state.armed; })) {
             for (Member &member : ranks_) {
                 if (member.isVouched) {
                     member.state->armed.reset(); // It has begun the same pass.
@@ -254,7 +254,8 @@
         }
         break;
     case Phase::Undoing:
-        if (all([](const RankState &state) { return !state.armed; }) && allReached([this](const RankState &state) { return state.prepared == undoVersion_; })) {
+        if (all([](const RankState &state) { return !state.armed; })
+            && allReached([this](const RankState &state) { return state.preparedVersion == undoVersion_; })) {
             enter(Phase::UndoReleasing, now);
         }
         break;
@@ -346,15 +347,15 @@
         const RankState &state = *ranks_[rank].state;
         switch (phase_) {
         case Phase::Preparing:
-            if (state.prepared != version_) {
+            if (state.preparedVersion != version_) {
                 give(orders, rank, {.kind = RankOrderKind::Prepare, .version = version_, .map = map_, .isFresh = true}, now);
             }
             break;
         case Phase::Holding:
-            if (state.held && (rank != holder_ || state.held != step_)) {
+            if (state.heldStep && (rank != holder_ || state.heldStep != step_)) {
                 // A late one of an earlier try. No rank is armed, nor can become so for it: all have a newer map prepared.
-                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.held}, now);
-            } else if (rank == holder_ && !state.held) {
+                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
+            } else if (rank == holder_ && !state.heldStep) {
                 give(orders, rank, {.kind = RankOrderKind::Hold, .version = step_, .step = step_}, now);
             }
             break;
@@ -365,14 +366,14 @@
             break;
         case Phase::Releasing:
         case Phase::UndoReleasing:
-            if (state.held) {
-                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.held}, now);
+            if (state.heldStep) {
+                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
             }
             break;
         case Phase::Undoing:
             if (state.armed) {
                 give(orders, rank, {.kind = RankOrderKind::Disarm, .version = state.armed->version}, now);
-            } else if (state.prepared != undoVersion_ && !current_.empty()) {
+            } else if (state.preparedVersion != undoVersion_ && !current_.empty()) {
                 give(orders, rank, {.kind = RankOrderKind::Prepare, .version = undoVersion_, .map = current_}, now);
             }
             break;
--- a/libs/group/src/replicaplanner.cpp
+++ b/libs/group/src/replicaplanner.cpp
@@ -67,7 +67,7 @@
                 consider(best, {.expert = expert, .to = {}, .dropped = {}, .from = hottestRank});
             }
             for (std::uint32_t rank = 0; rank < held_.size(); ++rank) {
-                const bool mayCopy = copiesOfRanks[rank] < options.mostNewPerRank && newCopies_[rank] < options.mostNewPerSet;
+                const bool mayCopy = copiesOfRanks[rank] < options.maxCopiesPerRank && newCopies_[rank] < options.maxCopiesPerSet;
                 if (mayCopy && !holds(rank, expert)) {
                     considerCopy(best, options, expert, hottestRank, rank);
                 }
@@ -134,7 +134,7 @@
     void considerCopy(std::optional<Change> &best, const ReplicaPlanner::Options &options, std::uint16_t expert, std::uint32_t hottest, std::uint32_t rank)
     {
         for (const auto from : {std::optional<std::uint32_t>(), std::optional(hottest)}) {
-            if (held_[rank].size() < options.placesPerRank) {
+            if (held_[rank].size() < options.maxExpertsPerRank) {
                 consider(best, {.expert = expert, .to = rank, .dropped = {}, .from = from});
                 continue;
             }
@@ -211,7 +211,7 @@
 };
 
 /** One pace for each rank: 1 where none is told, and where a rank is hardly slower than it should be. */
-std::vector<double> pacesOf(const RankExperts &map, std::span<const double> told)
+std::vector<double> pacesOf(const ExpertMap &map, std::span<const double> told)
 {
     std::vector<double> paces(map.empty() ? 0 : map.front().size(), 1.0);
     for (std::size_t rank = 0; rank < std::min(paces.size(), told.size()); ++rank) {
@@ -222,7 +222,7 @@
 
 } // namespace
 
-double ReplicaPlanner::load(const RankExperts &map, std::span<const std::vector<double>> shares, std::span<const double> paces)
+double ReplicaPlanner::load(const ExpertMap &map, std::span<const std::vector<double>> shares, std::span<const double> paces)
 {
     const std::vector<double> pacesOfRanks = pacesOf(map, paces);
     double sum = 0;
@@ -232,7 +232,7 @@
     return sum;
 }
 
-std::optional<ReplicaPlan> ReplicaPlanner::plan(const RankExperts &current, std::span<const std::vector<double>> shares, std::span<const double> paces) const
+std::optional<ReplicaPlan> ReplicaPlanner::plan(const ExpertMap &current, std::span<const std::vector<double>> shares, std::span<const double> paces) const
 {
     const std::vector<double> pacesOfRanks = pacesOf(current, paces);
     std::vector<SetPlacement> sets;
@@ -268,7 +268,7 @@
         plan.loadAfter += set.highest();
         plan.map.push_back(set.take());
     }
-    const bool isWorthIt = plan.loadAfter <= plan.loadBefore * (1 - options_.leastGain);
+    const bool isWorthIt = plan.loadAfter <= plan.loadBefore * (1 - options_.minGain);
     return isWorthIt ? std::optional(std::move(plan)) : std::nullopt;
 }
 
--- a/libs/group/tests/coordinatortermtest.cpp
+++ b/libs/group/tests/coordinatortermtest.cpp
@@ -11,9 +11,9 @@
 BOOST_AUTO_TEST_CASE(successor_ofAnyRow_hasAHigherTermThanTheRowAndWhatItFollowed)
 {
     const CoordinatorRow read{.term = 7, .holder = "a", .version = 40};
-    BOOST_TEST(successorOf(read, 0, "b").term == 8U);
-    BOOST_TEST(successorOf(read, 12, "b").term == 13U);
-    BOOST_TEST(successorOf(read, 0, "b").holder == "b");
+    BOOST_TEST(nextCoordinatorRow(read, 0, "b").term == 8U);
+    BOOST_TEST(nextCoordinatorRow(read, 12, "b").term == 13U);
+    BOOST_TEST(nextCoordinatorRow(read, 0, "b").holder == "b");
 }
 
 // Guards against a term that was given before the store returned from an older copy being given again.
@@ -21,14 +21,14 @@
 {
     const CoordinatorRow before{.term = 900, .holder = "a", .version = store::versionAcrossEras(1, 40)};
     const CoordinatorRow older{.term = 3, .holder = "a", .version = store::versionAcrossEras(2, 4)};
-    BOOST_TEST(successorOf(older, 0, "b").term > successorOf(before, 0, "b").term);
+    BOOST_TEST(nextCoordinatorRow(older, 0, "b").term > nextCoordinatorRow(before, 0, "b").term);
 }
 
 BOOST_AUTO_TEST_CASE(write_answeredInAnotherEra_isOfAnotherHistory)
 {
     const CoordinatorRow read{.term = 7, .holder = "a", .version = store::versionAcrossEras(1, 40)};
-    BOOST_TEST(isOfSameHistory(read, store::versionAcrossEras(1, 41)));
-    BOOST_TEST(!isOfSameHistory(read, store::versionAcrossEras(2, 41)));
+    BOOST_TEST(isInSameStoreEra(read, store::versionAcrossEras(1, 41)));
+    BOOST_TEST(!isInSameStoreEra(read, store::versionAcrossEras(2, 41)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/group/tests/groupcodectest.cpp
+++ b/libs/group/tests/groupcodectest.cpp
@@ -19,25 +19,25 @@
                           .size = 12,
                           .isOpen = true,
                           .step = 99,
-                          .map = 7,
-                          .prepared = 8,
+                          .mapVersion = 7,
+                          .preparedVersion = 8,
                           .armed = ArmedMap{.version = 8, .step = 101},
-                          .held = 101,
-                          .running = 5,
-                          .waiting = 6,
+                          .heldStep = 101,
+                          .runningRequests = 5,
+                          .waitingRequests = 6,
                           .pace = 1.25};
     BOOST_TEST((stateOf(reportOf(state)) == state));
 }
 
 BOOST_AUTO_TEST_CASE(state_heldAtPassZero_isNotTakenForNone)
 {
-    const RankState state{.group = "g", .held = 0};
+    const RankState state{.group = "g", .heldStep = 0};
     BOOST_TEST((stateOf(reportOf(state)) == state));
 }
 
 BOOST_AUTO_TEST_CASE(order_withItsMap_survivesACommand)
 {
-    const RankOrder order{.kind = RankOrderKind::Prepare, .epoch = 1, .version = 2, .step = 0, .map = RankExperts{{{1, 2}, {3}}}};
+    const RankOrder order{.kind = RankOrderKind::Prepare, .epoch = 1, .version = 2, .step = 0, .map = ExpertMap{{{1, 2}, {3}}}};
     wire::RankCommand command = commandOf(order, "g", 9);
     command.map = encodeMap(*order.map);
     const auto read = orderOf(command, {});
--- a/libs/group/tests/grouptasktest.cpp
+++ b/libs/group/tests/grouptasktest.cpp
@@ -43,10 +43,10 @@
                 .size = reportedSize,
                 .isOpen = true,
                 .step = step_,
-                .map = engine.map,
-                .prepared = engine.prepared,
+                .mapVersion = engine.map,
+                .preparedVersion = engine.prepared,
                 .armed = engine.armed,
-                .held = engine.held};
+                .heldStep = engine.held};
     }
 
     OrderOutcome order(std::uint32_t rank, const RankOrder &order)
@@ -80,7 +80,7 @@
         case RankOrderKind::Release:
             engine.held.reset();
             return OrderOutcome::Accepted;
-        case RankOrderKind::Follow:
+        case RankOrderKind::Heartbeat:
             break;
         }
         return OrderOutcome::Conflict;
@@ -115,7 +115,7 @@
         std::uint64_t map = 0;
         std::vector<std::vector<std::uint16_t>> experts;
         std::uint64_t prepared = 0;
-        RankExperts preparedMap;
+        ExpertMap preparedMap;
         std::optional<ArmedMap> armed;
         std::optional<std::uint64_t> held;
         std::vector<std::uint64_t> counts;
@@ -164,11 +164,11 @@
     {
         later([this, done] { done(ExpertCounts{.epoch = group_.epoch, .counts = group_.counts(rank_)}); });
     }
-    void readHeld(std::function<void(Result<HeldExperts>)> done) override
+    void readHeldExperts(std::function<void(Result<HeldExperts>)> done) override
     {
-        later([this, done] { done(HeldExperts{.epoch = group_.epoch, .version = group_.stateOf(rank_).map, .experts = group_.experts(rank_)}); });
+        later([this, done] { done(HeldExperts{.epoch = group_.epoch, .version = group_.stateOf(rank_).mapVersion, .experts = group_.experts(rank_)}); });
     }
-    void order(const RankOrder &order, std::function<void(OrderOutcome)> done) override
+    void sendOrder(const RankOrder &order, std::function<void(OrderOutcome)> done) override
     {
         const OrderOutcome outcome = group_.order(rank_, order);
         later([done, outcome] { done(outcome); });
@@ -209,10 +209,10 @@
         ++reads;
         done(row);
     }
-    void takeCoordinator(const std::string & /*group*/,
-                         const CoordinatorRow &read,
-                         const CoordinatorRow &next,
-                         std::function<void(Result<std::optional<std::uint64_t>>)> done) override
+    void replaceCoordinator(const std::string & /*group*/,
+                            const CoordinatorRow &read,
+                            const CoordinatorRow &next,
+                            std::function<void(Result<std::optional<std::uint64_t>>)> done) override
     {
         if (read.version != row.version) {
             done(std::optional<std::uint64_t>());
@@ -236,7 +236,7 @@
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
             const std::string address = "127.0.0.1:" + std::to_string(FirstPort + rank);
-            store.members.push_back({.id = "i" + std::to_string(rank), .engine = "engine-" + std::to_string(rank), .agent = address});
+            store.members.push_back({.id = "i" + std::to_string(rank), .engineAddress = "engine-" + std::to_string(rank), .agentAddress = address});
             ports.push_back(std::make_unique<FakePort>(loop.get(), group, rank));
             agents.push_back(start(rank, address));
         }
@@ -249,10 +249,10 @@
         options.listenAddress = address;
         options.links.self = {.role = wire::Role::Agent, .instance = options.instance, .dataCentre = "north", .endpoint = {}};
         options.links.keys = {{.id = "k", .secret = "a-secret-of-the-test"}};
-        options.experts = Experts;
-        options.placesPerRank = 3;
-        options.mostNewPerSet = 1;
-        options.patience = Duration(300);
+        options.expertsPerSet = Experts;
+        options.maxExpertsPerRank = 3;
+        options.maxCopiesPerSet = 1;
+        options.coordinatorTimeout = Duration(300);
         const auto dialEngine = [this](const std::string &engine) -> std::unique_ptr<EnginePort> {
             return std::make_unique<FakePort>(loop.get(), group, static_cast<std::uint32_t>(engine.back() - '0'));
         };
@@ -329,7 +329,7 @@
     // It is started again: with three ranks one silent agent is too many for engines to be addressed directly.
     for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
         if (agents[rank] == nullptr) {
-            agents[rank] = start(rank, store.members[rank].agent);
+            agents[rank] = start(rank, store.members[rank].agentAddress);
         }
     }
     BOOST_TEST(runUntil([this, map] { return group.map() != map; }));
--- a/libs/group/tests/heldmapstest.cpp
+++ b/libs/group/tests/heldmapstest.cpp
@@ -13,7 +13,7 @@
     held.note(1, 7, {{2}, {0}});
     BOOST_TEST(!held.joined(2).has_value()); // One is missing.
     held.note(0, 7, {{0, 1}, {1, 2}});
-    BOOST_TEST((held.joined(2).value() == RankExperts{{{0, 1}, {2}}, {{1, 2}, {0}}}));
+    BOOST_TEST((held.joined(2).value() == ExpertMap{{{0, 1}, {2}}, {{1, 2}, {0}}}));
     BOOST_TEST(held.version() == 7U);
 }
 
@@ -31,7 +31,7 @@
     HeldMaps held;
     held.note(0, 7, {{0, 1}});
     held.note(2, 7, {{1, 4}});
-    BOOST_TEST((held.joinedWithout(1, 3, 5).value() == RankExperts{{{0, 1}, {2, 3}, {1, 4}}}));
+    BOOST_TEST((held.joinedWithout(1, 3, 5).value() == ExpertMap{{{0, 1}, {2, 3}, {1, 4}}}));
     BOOST_TEST(!held.joinedWithout(0, 3, 5).has_value()); // It is not the one that is absent.
 }
 
--- a/libs/group/tests/mapcodectest.cpp
+++ b/libs/group/tests/mapcodectest.cpp
@@ -18,9 +18,9 @@
 constexpr std::size_t Experts = 256;
 
 /** The map that a group forms with, experts in turn, and a further expert at each place that has room. */
-RankExperts mapOf(std::size_t ranks, std::uint16_t further)
+ExpertMap mapOf(std::size_t ranks, std::uint16_t further)
 {
-    RankExperts map(Sets, std::vector<std::vector<std::uint16_t>>(ranks));
+    ExpertMap map(Sets, std::vector<std::vector<std::uint16_t>>(ranks));
     for (std::size_t set = 0; set < Sets; ++set) {
         for (std::size_t expert = 0; expert < Experts; ++expert) {
             map[set][expert % ranks].push_back(static_cast<std::uint16_t>(expert));
@@ -47,18 +47,18 @@
 
 BOOST_AUTO_TEST_CASE(map_ofAnyShape_survives)
 {
-    for (const RankExperts &map : {RankExperts{}, RankExperts{{}}, RankExperts{{{}}}, RankExperts{{{1, 2}, {3}}, {{300, 65535}, {}}}}) {
+    for (const ExpertMap &map : {ExpertMap{}, ExpertMap{{}}, ExpertMap{{{}}}, ExpertMap{{{1, 2}, {3}}, {{300, 65535}, {}}}}) {
         BOOST_TEST((decodeMap(encodeMap(map)).value() == map));
     }
 }
 
 BOOST_AUTO_TEST_CASE(change_ofFirstLastAndNeighbouringPlaces_leadsToTheMap)
 {
-    const RankExperts base{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}};
-    for (const RankExperts &map : {base,
-                                   RankExperts{{{0, 1, 4}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}},
-                                   RankExperts{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3}}},
-                                   RankExperts{{{1}, {0, 3}, {2, 4}}, {{4}, {0, 1}, {2, 3}}}}) {
+    const ExpertMap base{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}};
+    for (const ExpertMap &map : {base,
+                                 ExpertMap{{{0, 1, 4}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}},
+                                 ExpertMap{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3}}},
+                                 ExpertMap{{{1}, {0, 3}, {2, 4}}, {{4}, {0, 1}, {2, 3}}}}) {
         BOOST_TEST((applyMapChange(base, encodeMapChange(base, map)).value() == map));
     }
 }
@@ -67,8 +67,8 @@
 // a map whose lists were in another order. Cause: each form left the lists in an order of its own.
 BOOST_AUTO_TEST_CASE(map_toldWholeOrAsAChange_isTheSameEverywhere)
 {
-    const RankExperts base{{{5, 0}, {3, 2}}};
-    const RankExperts map{{{5, 0}, {2, 4}}};
+    const ExpertMap base{{{5, 0}, {3, 2}}};
+    const ExpertMap map{{{5, 0}, {2, 4}}};
     const auto whole = decodeMap(encodeMap(map)).value();
     BOOST_TEST((applyMapChange(base, encodeMapChange(base, map)).value() == whole));
 }
@@ -129,9 +129,9 @@
     constexpr std::size_t Changed = 128;
     constexpr std::size_t BytesForEach = 6;
     constexpr std::size_t Frame = 40;
-    const RankExperts base = mapOf(static_cast<std::size_t>(ranks), 0);
-    const RankExperts other = mapOf(static_cast<std::size_t>(ranks), 100);
-    RankExperts map = base;
+    const ExpertMap base = mapOf(static_cast<std::size_t>(ranks), 0);
+    const ExpertMap other = mapOf(static_cast<std::size_t>(ranks), 100);
+    ExpertMap map = base;
     for (std::size_t place = 0; place < Changed; ++place) {
         const std::size_t set = place % Sets;
         const std::size_t rank = (place * 7) % static_cast<std::size_t>(ranks);
@@ -143,12 +143,12 @@
 BOOST_AUTO_TEST_CASE(knownMaps_changeGivenUp_theOneInUseIsKept)
 {
     KnownMaps known;
-    known.tell(5, RankExperts{{{0}}}, 0);
-    known.tell(6, RankExperts{{{1}}}, 5);
-    known.tell(7, RankExperts{{{2}}}, 5);
+    known.tell(5, ExpertMap{{{0}}}, 0);
+    known.tell(6, ExpertMap{{{1}}}, 5);
+    known.tell(7, ExpertMap{{{2}}}, 5);
     BOOST_TEST(known.find(5) != nullptr);
     BOOST_TEST(known.find(6) == nullptr);
-    BOOST_TEST((*known.find(7) == RankExperts{{{2}}}));
+    BOOST_TEST((*known.find(7) == ExpertMap{{{2}}}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/group/tests/mapcouriertest.cpp
+++ b/libs/group/tests/mapcouriertest.cpp
@@ -31,7 +31,7 @@
 };
 
 struct CourierFixture {
-    static RankOrder order(std::uint64_t version, RankExperts map)
+    static RankOrder order(std::uint64_t version, ExpertMap map)
     {
         return {.kind = RankOrderKind::Prepare, .version = version, .map = SharedMap(std::move(map))};
     }
@@ -98,7 +98,7 @@
 {
     courier.setBase(5, *first.map);
     BOOST_TEST(!agent.take(second, courier.formFor(second, 5)));
-    agent.known.tell(5, RankExperts{{{0}}}, 0); // Of another shape.
+    agent.known.tell(5, ExpertMap{{{0}}}, 0); // Of another shape.
     BOOST_TEST(!agent.take(second, courier.formFor(second, 5)));
 }
 
--- a/libs/group/tests/mapswitchtest.cpp
+++ b/libs/group/tests/mapswitchtest.cpp
@@ -15,7 +15,7 @@
 struct MapSwitchFixture {
     static RankState idle(std::uint32_t rank)
     {
-        return {.group = "g", .epoch = 1, .rank = rank, .size = 2, .isOpen = true, .step = 10, .map = 0};
+        return {.group = "g", .epoch = 1, .rank = rank, .size = 2, .isOpen = true, .step = 10, .mapVersion = 0};
     }
 
     void reportAll(const std::function<void(RankState &)> &change)
@@ -69,7 +69,7 @@
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
     BOOST_TEST(due().size() == 2U);
-    reportAll([&](RankState &state) { state.prepared = mapSwitch.version(); });
+    reportAll([&](RankState &state) { state.preparedVersion = mapSwitch.version(); });
     const auto hold = due();
     BOOST_REQUIRE(hold.size() == 1U);
     BOOST_TEST((hold[0].order.kind == RankOrderKind::Hold));
@@ -77,7 +77,7 @@
     BOOST_TEST(step > 10U);
     reportAll([&](RankState &state) {
         if (state.rank == hold[0].rank) {
-            state.held = step;
+            state.heldStep = step;
         }
     });
     const auto arm = due();
@@ -94,9 +94,9 @@
     BOOST_REQUIRE(release.size() == 1U);
     BOOST_TEST((release[0].order.kind == RankOrderKind::Release));
     reportAll([&](RankState &state) {
-        state.held.reset();
+        state.heldStep.reset();
         state.armed.reset();
-        state.map = mapSwitch.version();
+        state.mapVersion = mapSwitch.version();
         state.step = step;
     });
     BOOST_TEST(mapSwitch.isIdle());
@@ -107,10 +107,10 @@
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
     const std::uint64_t version = mapSwitch.version();
-    reportAll([&](RankState &state) { state.prepared = version; });
-    states[0].held = due().front().order.step;
+    reportAll([&](RankState &state) { state.preparedVersion = version; });
+    states[0].heldStep = due().front().order.step;
     reportAll([](RankState &) {});
-    states[0].armed = ArmedMap{.version = version, .step = *states[0].held};
+    states[0].armed = ArmedMap{.version = version, .step = *states[0].heldStep};
     reportAll([](RankState &) {});
     now += 10s;
     const auto undo = due();
@@ -118,14 +118,14 @@
     BOOST_TEST((undo[0].order.kind == RankOrderKind::Disarm));
     BOOST_TEST((undo[1].order.kind == RankOrderKind::Prepare));
     BOOST_TEST(undo[1].order.version > version);
-    states[1].prepared = undo[1].order.version;
+    states[1].preparedVersion = undo[1].order.version;
     states[0].armed.reset();
     reportAll([](RankState &) {});
     // Disarmed is not enough: an order to arm that is still on its way would find the map prepared.
     const auto replace = due();
     BOOST_REQUIRE(replace.size() == 1U);
     BOOST_TEST((replace[0].order.kind == RankOrderKind::Prepare));
-    states[0].prepared = replace[0].order.version;
+    states[0].preparedVersion = replace[0].order.version;
     reportAll([](RankState &) {});
     const auto release = due();
     BOOST_REQUIRE(release.size() == 1U);
@@ -134,7 +134,7 @@
 
 BOOST_AUTO_TEST_CASE(successor_findsAHoldAndAllArmed_releases)
 {
-    states[0].held = 14;
+    states[0].heldStep = 14;
     reportAll([](RankState &state) { state.armed = ArmedMap{.version = 77, .step = 14}; });
     const auto release = due();
     BOOST_REQUIRE(release.size() == 1U);
@@ -144,7 +144,7 @@
 
 BOOST_AUTO_TEST_CASE(successor_findsAHoldAndSomeArmed_undoes)
 {
-    states[0].held = 14;
+    states[0].heldStep = 14;
     states[1].armed = ArmedMap{.version = 77, .step = 14};
     reportAll([](RankState &) {});
     for (const AddressedOrder &order : due()) {
@@ -159,14 +159,14 @@
     // the first was carried out seconds later. Cause: a hold never expires, and nobody waited for this one.
     mapSwitch.setCurrent({{{1}, {2}}});
     reportAll([](RankState &) {});
-    states[1].held = 30;
+    states[1].heldStep = 30;
     reportAll([](RankState &) {});
     bool isReleased = false;
     for (int round = 0; round < 10 && !isReleased; ++round) {
         for (const AddressedOrder &order : due()) {
             isReleased = isReleased || (order.order.kind == RankOrderKind::Release && order.order.step == 30U);
             if (order.order.kind == RankOrderKind::Prepare) {
-                states[order.rank].prepared = order.order.version;
+                states[order.rank].preparedVersion = order.order.version;
             }
         }
         reportAll([](RankState &) {});
@@ -176,7 +176,7 @@
 
 BOOST_AUTO_TEST_CASE(undo_mapInUseNotKnownYet_noEmptyMapIsPrepared)
 {
-    states[1].held = 30;
+    states[1].heldStep = 30;
     reportAll([](RankState &) {});
     BOOST_TEST((mapSwitch.phase() == MapSwitch::Phase::Undoing));
     BOOST_TEST(due().empty());
@@ -190,7 +190,7 @@
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
-    reportAll([&](RankState &state) { state.prepared = mapSwitch.version(); });
+    reportAll([&](RankState &state) { state.preparedVersion = mapSwitch.version(); });
     const std::uint64_t first = due().front().order.step;
     reportAll([&](RankState &state) { state.step = first; });
     const auto again = due();
--- a/libs/group/tests/rankworld.h
+++ b/libs/group/tests/rankworld.h
@@ -237,7 +237,7 @@
     }
 
     /** A map whose content is one number. */
-    static RankExperts mapOf(Content content)
+    static ExpertMap mapOf(Content content)
     {
         return {{{static_cast<std::uint16_t>(content)}}};
     }
@@ -251,10 +251,10 @@
                 .size = options_.ranks,
                 .isOpen = true,
                 .step = step_,
-                .map = engine.map,
-                .prepared = engine.prepared,
+                .mapVersion = engine.map,
+                .preparedVersion = engine.prepared,
                 .armed = engine.armed,
-                .held = engine.held};
+                .heldStep = engine.held};
     }
 
     void report(std::uint32_t rank)
@@ -473,7 +473,7 @@
                 engine.held.reset();
             }
             break;
-        case RankOrderKind::Follow:
+        case RankOrderKind::Heartbeat:
             break;
         }
     }
--- a/libs/group/tests/replicaplannertest.cpp
+++ b/libs/group/tests/replicaplannertest.cpp
@@ -17,9 +17,9 @@
 constexpr std::size_t Experts = 96;
 
 struct ReplicaPlannerFixture {
-    static RankExperts inTurn(std::size_t sets)
+    static ExpertMap inTurn(std::size_t sets)
     {
-        RankExperts map(sets, std::vector<std::vector<std::uint16_t>>(Ranks));
+        ExpertMap map(sets, std::vector<std::vector<std::uint16_t>>(Ranks));
         for (auto &set : map) {
             for (std::size_t expert = 0; expert < Experts; ++expert) {
                 set[expert % Ranks].push_back(static_cast<std::uint16_t>(expert));
@@ -49,7 +49,7 @@
         return all;
     }
 
-    static std::size_t newOf(const RankExperts &before, const RankExperts &after, std::size_t set, std::size_t rank)
+    static std::size_t newOf(const ExpertMap &before, const ExpertMap &after, std::size_t set, std::size_t rank)
     {
         const std::set<std::uint16_t> had(before[set][rank].begin(), before[set][rank].end());
         std::size_t count = 0;
@@ -59,7 +59,7 @@
         return count;
     }
 
-    const ReplicaPlanner::Options options{.placesPerRank = 11, .mostNewPerSet = 4, .mostNewPerRank = 1, .leastGain = 0.08};
+    const ReplicaPlanner::Options options{.maxExpertsPerRank = 11, .maxCopiesPerSet = 4, .maxCopiesPerRank = 1, .minGain = 0.08};
     const ReplicaPlanner planner{options};
 };
 
@@ -77,7 +77,7 @@
 BOOST_AUTO_TEST_CASE(demand_skewed_loadFallsWithinTheBounds)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        const RankExperts before = inTurn(3);
+        const ExpertMap before = inTurn(3);
         const auto shares = skewed(3, seed);
         const auto plan = planner.plan(before, shares);
         BOOST_REQUIRE(plan.has_value());
@@ -86,18 +86,18 @@
         for (std::size_t rank = 0; rank < Ranks; ++rank) {
             std::size_t copies = 0;
             for (std::size_t set = 0; set < 3; ++set) {
-                BOOST_TEST(plan->map[set][rank].size() <= options.placesPerRank);
-                BOOST_TEST(newOf(before, plan->map, set, rank) <= options.mostNewPerSet);
+                BOOST_TEST(plan->map[set][rank].size() <= options.maxExpertsPerRank);
+                BOOST_TEST(newOf(before, plan->map, set, rank) <= options.maxCopiesPerSet);
                 copies += newOf(before, plan->map, set, rank);
             }
-            BOOST_TEST(copies <= options.mostNewPerRank);
+            BOOST_TEST(copies <= options.maxCopiesPerRank);
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(changes_oneAfterTheOther_everyExpertKeepsARank)
 {
-    RankExperts map = inTurn(3);
+    ExpertMap map = inTurn(3);
     for (unsigned seed = 1; seed <= 30; ++seed) {
         if (auto plan = planner.plan(map, skewed(3, seed))) {
             map = std::move(plan->map);
@@ -115,7 +115,7 @@
 
 BOOST_AUTO_TEST_CASE(demand_stays_changesComeToAnEnd)
 {
-    RankExperts map = inTurn(3);
+    ExpertMap map = inTurn(3);
     const auto shares = skewed(3, 7);
     int changes = 0;
     while (auto plan = planner.plan(map, shares)) {
@@ -133,7 +133,7 @@
     const auto shares = skewed(3, 3);
     std::vector<double> paces(Ranks, 1.0);
     paces[4] = Slow;
-    RankExperts map = inTurn(3);
+    ExpertMap map = inTurn(3);
     int changes = 0;
     while (auto plan = planner.plan(map, shares, paces)) {
         map = std::move(plan->map);
@@ -159,20 +159,20 @@
 BOOST_AUTO_TEST_CASE(hotReplica_othersHoldItToo_isLeftToThemWithoutACopy)
 {
     // Two ranks hold expert 0; on the first of them all else is hot too, so that it is better off without its replica.
-    const RankExperts map{{{0, 1}, {0}, {2}}};
+    const ExpertMap map{{{0, 1}, {0}, {2}}};
     const std::vector<std::vector<double>> shares{{0.4, 0.5, 0.1}};
     ReplicaPlanner::Options none = options;
-    none.mostNewPerRank = 0;
+    none.maxCopiesPerRank = 0;
     const auto plan = ReplicaPlanner(none).plan(map, shares);
     BOOST_REQUIRE(plan.has_value());
     BOOST_TEST(plan->copies == 0U);
-    BOOST_TEST((plan->map == RankExperts{{{1}, {0}, {2}}}));
+    BOOST_TEST((plan->map == ExpertMap{{{1}, {0}, {2}}}));
 }
 
 BOOST_AUTO_TEST_CASE(gain_belowTheLeast_isNotWorthACopy)
 {
     ReplicaPlanner::Options strict = options;
-    strict.leastGain = 0.99;
+    strict.minGain = 0.99;
     BOOST_TEST(!ReplicaPlanner(strict).plan(inTurn(3), skewed(3, 1)).has_value());
 }
 
