--- a/libs/group/benchmarks/coordinatorcost.cpp
+++ b/libs/group/benchmarks/coordinatorcost.cpp
@@ -2,7 +2,7 @@
 // processor time of each part, and the bytes that one agent is told.
 #include "group/replicaplanner.h"
 #include "mapcodec.h"
-#include "mapcourier.h"
+#include "mapencoder.h"
 
 #include <algorithm>
 #include <chrono>
@@ -81,16 +81,16 @@
     if (!plan) {
         std::abort();
     }
-    MapCourier courier;
-    courier.setBase(1, map);
-    const MapCourier::Form form = courier.formFor({.kind = RankOrderKind::Prepare, .version = 2, .map = plan->map}, 1);
+    MapEncoder encoder;
+    encoder.setBase(1, map);
+    const MapEncoder::Encoding encoding = encoder.encode({.kind = RankOrderKind::Prepare, .version = 2, .map = plan->map}, 1);
     const std::vector<std::uint64_t> counts(shape.sets * shape.experts, 300);
-    const std::string told = encodeCounts(counts);
+    const std::string encoded = encodeCounts(counts);
     std::printf("RESULT coordinator_plan_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)planner.plan(map, demand); }));
     std::printf("RESULT coordinator_look_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)ReplicaPlanner::load(map, demand); }));
-    std::printf("RESULT coordinator_counts_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)decodeCounts(told); }));
+    std::printf("RESULT coordinator_counts_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)decodeCounts(encoded); }));
     std::printf("RESULT coordinator_whole_map_%s %zu bytes\n", name.c_str(), encodeMap(plan->map).size());
-    std::printf("RESULT coordinator_change_of_map_%s %zu bytes\n", name.c_str(), form.map.size());
+    std::printf("RESULT coordinator_change_of_map_%s %zu bytes\n", name.c_str(), encoding.map.size());
 }
 
 } // namespace
--- a/libs/group/include/group/rankwitness.h
+++ b/libs/group/include/group/armedstateprover.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_GROUP_RANKWITNESS_H
-#define MAGNOLIA_GROUP_RANKWITNESS_H
+#ifndef MAGNOLIA_GROUP_ARMEDSTATEPROVER_H
+#define MAGNOLIA_GROUP_ARMEDSTATEPROVER_H
 
 #include "group/rankstate.h"
 
@@ -11,8 +11,8 @@
 {
 
 /** What an agent remembers, since its process started, of the changes of map that it was told of. */
-struct RankMemory {
-    std::uint64_t told = 0; ///< Version that it was last told to prepare; 0: none.
+struct SwitchRecord {
+    std::uint64_t preparedVersion = 0; ///< Version that it was last told to prepare; 0: none.
     bool isFresh = false; ///< No rank was armed or held when that change was begun.
     std::optional<PeerArm> peerArm{}; ///< The last order to arm that it gave to another rank's engine.
     std::uint64_t map = 0; ///< Version in use at its own rank.
@@ -35,20 +35,20 @@
  * if (const auto proof = witness.judge({.rank = 3, .size = 12, .epoch = 1, .term = 7})) { change.vouch(3, proof->armed, now); }
  * @endcode
  */
-class RankWitness
+class ArmedStateProver
 {
 public:
     void reset()
     {
-        memories_.clear();
+        records_.clear();
     }
 
-    void heard(std::uint32_t rank, const RankMemory &memory)
+    void recordSwitch(std::uint32_t rank, const SwitchRecord &record)
     {
-        memories_[rank] = memory;
+        records_[rank] = record;
     }
 
-    struct Question {
+    struct Query {
         std::uint32_t rank = 0; ///< The one that can't be reached.
         std::uint32_t size = 0; ///< Ranks of the group.
         std::uint64_t epoch = 0;
@@ -60,10 +60,10 @@
     };
 
     /** @return nothing if nothing is proved. */
-    std::optional<Proof> judge(const Question &question) const;
+    std::optional<Proof> prove(const Query &query) const;
 
 private:
-    std::map<std::uint32_t, RankMemory> memories_; ///< By rank.
+    std::map<std::uint32_t, SwitchRecord> records_; ///< By rank.
 };
 
 } // namespace magnolia::group
--- a/libs/group/include/group/changepolicy.h
+++ b/libs/group/include/group/changepolicy.h
@@ -29,36 +29,36 @@
 public:
     struct Options {
         Duration pauseObjective{0}; ///< Longest pause that routes allow between events, one pass each; 0: none stated, each hundredth counts.
-        double evenEnough = 1.06; ///< Most loaded rank against an even spread: no change could then save the least gain.
+        double balancedLoad = 1.06; ///< Most loaded rank against an even spread: no change could then save the least gain.
         std::chrono::duration<double> copyTime{0}; ///< Of one expert to one rank: for so long a change keeps the next one waiting.
-        std::chrono::duration<double> restTime{0.1}; ///< Of a change, besides copying: a copy that takes no longer is in nobody's way.
-        double evenerPerSecond = 1.5; ///< By how much less even a map may be at ease, for each second that a copy takes beyond that.
-        double easePart = 0.55; ///< Of the pause objective that a pass may take to be short: the first one after a shift takes about twice as long.
+        std::chrono::duration<double> switchOverhead{0.1}; ///< Of a change, besides copying: a copy that takes no longer is in nobody's way.
+        double tolerancePerSecond = 1.5; ///< By how much less even a map may be at ease, for each second that a copy takes beyond that.
+        double shortPassFraction = 0.55; ///< Of the pause objective that a pass may take to be short: the first one after a shift takes about twice as long.
     };
 
     explicit ChangePolicy(Options options) : options_(options) {}
 
     /** The latest pass, as a rank reports it. @param isBusy requests are being answered; an idle group makes no passes. */
-    void reported(std::uint64_t step, bool isBusy, BootTime now)
+    void recordStep(std::uint64_t step, bool isBusy, BootTime now)
     {
         const bool isContinued = isBusy_ && step > step_;
         if (isContinued) {
-            const auto each = std::chrono::duration<double, std::milli>(now - seenAt_) / static_cast<double>(step - step_);
-            passTime_ += (each - passTime_) * NewPart;
+            const auto stepTime = std::chrono::duration<double, std::milli>(now - stepSeenAt_) / static_cast<double>(step - step_);
+            passTime_ += (stepTime - passTime_) * SmoothingFactor;
         }
         if (step != step_ || !isBusy_) {
             step_ = step;
-            seenAt_ = now;
+            stepSeenAt_ = now;
         }
         isBusy_ = isBusy;
     }
 
     /** @param load of the most loaded rank, 1 where work is spread evenly; as a mean over sets. */
-    bool wantsChange(double load) const
+    bool needsChange(double load) const
     {
-        const bool isAtEase = passTime_ < options_.pauseObjective * options_.easePart;
-        const double inTheWay = std::max((options_.copyTime - options_.restTime).count(), 0.0); // Seconds.
-        return load > options_.evenEnough + (isAtEase ? options_.evenerPerSecond * inTheWay : 0);
+        const bool arePassesShort = passTime_ < options_.pauseObjective * options_.shortPassFraction;
+        const double blockedSeconds = std::max((options_.copyTime - options_.switchOverhead).count(), 0.0); // Seconds.
+        return load > options_.balancedLoad + (arePassesShort ? options_.tolerancePerSecond * blockedSeconds : 0);
     }
 
     /** @return smoothed. */
@@ -69,12 +69,12 @@
 
 private:
     // Reports come some 100 ms apart and tell of one to three passes: the latest third of a second counts most.
-    static constexpr double NewPart = 0.3;
+    static constexpr double SmoothingFactor = 0.3;
 
     Options options_;
     std::chrono::duration<double, std::milli> passTime_{0};
     std::uint64_t step_ = 0;
-    BootTime seenAt_; ///< When that step was first reported.
+    BootTime stepSeenAt_; ///< When that step was first reported.
     bool isBusy_ = false;
 };
 
--- a/libs/group/include/group/expertdemand.h
+++ b/libs/group/include/group/expertdemand.h
@@ -28,11 +28,11 @@
     explicit ExpertDemand(Duration halfLife) : halfLife_(halfLife) {}
 
     /** @param counts choices since the rank's last report, set by set. */
-    void took(std::span<const std::uint64_t> counts, BootTime now);
+    void addCounts(std::span<const std::uint64_t> counts, BootTime now);
 
     bool isEmpty() const
     {
-        return chosen_.empty();
+        return decayedCounts_.empty();
     }
 
     /** @return each expert's part of its set's choices, by set. */
@@ -40,8 +40,8 @@
 
 private:
     Duration halfLife_;
-    std::vector<double> chosen_; ///< Decayed, set by set.
-    BootTime at_; ///< As of then.
+    std::vector<double> decayedCounts_; ///< Decayed, set by set.
+    BootTime decayedAt_; ///< As of then.
 };
 
 } // namespace magnolia::group
--- a/libs/group/include/group/mapswitch.h
+++ b/libs/group/include/group/mapswitch.h
@@ -17,7 +17,7 @@
 struct AddressedOrder {
     std::uint32_t rank = 0;
     RankOrder order;
-    std::uint32_t via = 0; ///< The rank whose instance gives it to the engine; the same, or another's for the loss of one instance not to matter.
+    std::uint32_t senderRank = 0; ///< The rank whose instance gives it to the engine; the same, or another's for the loss of one instance not to matter.
 };
 
 /**
@@ -59,7 +59,8 @@
         std::uint64_t stepsAhead = 2; ///< How far ahead of the last pass S is: time for holding and arming, so that nothing stalls.
         Duration orderRetry{30}; ///< An order whose effect is not reported is given again; carried out twice it does no harm, and the group may stand still.
         Duration prepareRetry{400}; ///< The same for a map, doubled with each try: it is bulky, and a link that is busy with it must not be given it again.
-        Duration toldRetry{1200}; ///< For a rank whose agent has said that it was told the map: its engine is copying, or the agent asks it again itself.
+        Duration acknowledgedRetry{
+            1200}; ///< For a rank whose agent has said that it was told the map: its engine is copying, or the agent asks it again itself.
         Duration prepareLimit{6000}; ///< Then the map is given up: demand has moved on.
         Duration armLimit{1200}; ///< Then the switch is undone: the group stands still meanwhile.
     };
@@ -77,16 +78,16 @@
 
     explicit MapSwitch(Options options);
 
-    void reported(const RankState &state, BootTime now);
+    void onRankReport(const RankState &state, BootTime now);
 
     /** The rank's agent says which version it was last told to prepare. */
-    void told(std::uint32_t rank, std::uint64_t version);
+    void onPrepareAcknowledged(std::uint32_t rank, std::uint64_t version);
 
     /** Begins a switch; only when idle. @param current experts in use, to fall back to. */
     void begin(ExpertMap map, ExpertMap current, BootTime now);
 
     /** @return orders to be given now. */
-    std::vector<AddressedOrder> due(BootTime now);
+    std::vector<AddressedOrder> takeDueOrders(BootTime now);
 
     /** The rank beside the coordinator, from now on. */
     void setOwnRank(std::uint32_t rank)
@@ -98,15 +99,15 @@
      * For a rank that has not reported and can't be reached: what is proved of it. It gets no orders until it reports, and no
      * switch can begin meanwhile.
      */
-    void vouch(std::uint32_t rank, std::optional<ArmedMap> armed, BootTime now);
+    void setProvenState(std::uint32_t rank, std::optional<ArmedMap> armed, BootTime now);
 
     /** @return the term of the coordinator that made a version. */
     static std::uint64_t termOf(std::uint64_t version);
 
     /** The map in use, in case a switch of a predecessor has to be undone. */
-    void setCurrent(ExpertMap current)
+    void setFallbackMap(ExpertMap current)
     {
-        current_ = std::move(current);
+        fallbackMap_ = std::move(current);
     }
 
     Phase phase() const
@@ -120,10 +121,10 @@
     /** Idle, and all ranks have reported. */
     bool canBegin() const
     {
-        return isIdle() && !vouchedRank();
+        return isIdle() && !provenRank();
     }
     /** @return the rank whose state is proved and not reported. */
-    std::optional<std::uint32_t> vouchedRank() const;
+    std::optional<std::uint32_t> provenRank() const;
     std::uint64_t epoch() const
     {
         return epoch_;
@@ -133,7 +134,7 @@
         return static_cast<std::uint32_t>(ranks_.size());
     }
     /** @return the version that ranks are told to prepare now; 0: none. */
-    std::uint64_t wantedVersion() const
+    std::uint64_t versionToPrepare() const
     {
         return phase_ == Phase::Preparing ? version_ : phase_ == Phase::Undoing ? undoVersion_ : 0;
     }
@@ -147,30 +148,30 @@
 private:
     struct Member {
         std::optional<RankState> state;
-        bool isVouched = false; ///< The state is what is proved of it, not reported.
-        BootTime orderedAt; ///< When it was last given an order.
-        std::optional<RankOrderKind> ordered;
-        std::uint64_t orderedVersion = 0;
+        bool isProven = false; ///< The state is what is proved of it, not reported.
+        BootTime lastOrderAt; ///< When it was last given an order.
+        std::optional<RankOrderKind> lastOrderKind;
+        std::uint64_t lastOrderVersion = 0;
         std::uint32_t tries = 0; ///< Of the order last given.
-        std::uint64_t told = 0; ///< Version that its agent was last told to prepare, as far as it said.
+        std::uint64_t acknowledgedVersion = 0; ///< Version that its agent was last told to prepare, as far as it said.
     };
 
     void reset(const RankState &state);
     void enter(Phase phase, BootTime now);
     void advance(BootTime now);
-    void takeUp(BootTime now);
+    void resumeFromReports(BootTime now);
     bool allReported() const;
     template<typename Condition>
-    bool all(Condition condition) const;
+    bool allRanks(Condition condition) const;
     template<typename Condition>
-    bool allReached(Condition condition) const;
+    bool allReporting(Condition condition) const;
     std::optional<std::uint32_t> holder() const;
-    std::uint64_t nextStep(std::uint64_t ahead);
+    std::uint64_t chooseStep(std::uint64_t ahead);
     std::uint64_t nextVersion();
-    Duration retryOf(const Member &member, const RankOrder &order) const;
-    void give(std::vector<AddressedOrder> &orders, std::uint32_t rank, RankOrder order, BootTime now);
-    std::uint32_t usualHolder() const;
-    std::uint32_t viaFor(std::uint32_t rank, RankOrderKind kind, std::uint32_t tries) const;
+    Duration retryDelay(const Member &member, const RankOrder &order) const;
+    void addOrder(std::vector<AddressedOrder> &orders, std::uint32_t rank, RankOrder order, BootTime now);
+    std::uint32_t defaultHolder() const;
+    std::uint32_t senderFor(std::uint32_t rank, RankOrderKind kind, std::uint32_t tries) const;
     bool areOthersArmed(std::uint32_t rank) const;
 
     Options options_;
@@ -178,15 +179,15 @@
     BootTime phaseSince_;
     std::uint64_t epoch_ = 0;
     std::vector<Member> ranks_;
-    std::uint64_t count_ = 0; ///< Versions made in this term.
+    std::uint64_t versionCount_ = 0; ///< Versions made in this term.
     std::uint64_t version_ = 0;
     std::uint64_t undoVersion_ = 0;
-    std::uint64_t step_ = 0; ///< S
+    std::uint64_t switchStep_ = 0; ///< S
     std::uint64_t lastUsedStep_ = 0; ///< Highest that was ever S, here or, as far as can be, under a predecessor.
     std::optional<std::uint32_t> ownRank_; ///< Unknown at first; orders are then given by each rank's own agent.
     std::uint32_t holder_ = 0; ///< In the switch in progress.
     SharedMap map_;
-    SharedMap current_;
+    SharedMap fallbackMap_;
 };
 
 /** @return "unknown", "idle", "preparing", "holding", "arming", "releasing", "undoing" or "undo-releasing". */
--- a/libs/group/src/bulkpacer.h
+++ b/libs/group/src/bulkpacer.h
@@ -32,23 +32,23 @@
     explicit BulkPacer(Options options) : options_(options) {}
 
     /** @return whether a message of this size may be sent now, and counts it if so. */
-    bool take(std::size_t bytes, BootTime now)
+    bool tryConsume(std::size_t bytes, BootTime now)
     {
         if (options_.bytesPerSecond <= 0) {
             return true;
         }
-        freeAt_ = std::max(freeAt_, now - options_.burst);
-        if (freeAt_ > now) {
+        idleAt_ = std::max(idleAt_, now - options_.burst);
+        if (idleAt_ > now) {
             return false;
         }
-        const std::chrono::duration<double> spent(static_cast<double>(bytes) / options_.bytesPerSecond);
-        freeAt_ += std::chrono::duration_cast<BootClock::duration>(spent);
+        const std::chrono::duration<double> sendTime(static_cast<double>(bytes) / options_.bytesPerSecond);
+        idleAt_ += std::chrono::duration_cast<BootClock::duration>(sendTime);
         return true;
     }
 
 private:
     Options options_;
-    BootTime freeAt_; ///< When all that was taken will have been sent.
+    BootTime idleAt_; ///< When all that was taken will have been sent.
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/coordinator.cpp
+++ b/libs/group/src/coordinator.cpp
@@ -13,34 +13,34 @@
 {
 
 // While a switch is in progress orders have to be repeated soon; a tick costs little beside that.
-constexpr Duration SwitchTick{20};
-constexpr Duration IdleTick{100};
+constexpr Duration SwitchUpdateInterval{20};
+constexpr Duration IdleUpdateInterval{100};
 // Well below the patience after which another takes over.
-constexpr Duration FollowInterval{200};
+constexpr Duration HeartbeatInterval{200};
 
 // While the group is held whoever holds it takes over much sooner than usual (GroupOptions::heldPatience).
-constexpr Duration SwitchFollowInterval{60};
+constexpr Duration SwitchHeartbeatInterval{60};
 
 // Agents that can be reached report within some tens of milliseconds to a new coordinator.
-constexpr Duration VouchAfter{120};
+constexpr Duration ProofDelay{120};
 
 // The list of members is read again, while a rank is missing, and otherwise now and then: the calls are priced.
-constexpr Duration MissingRefresh{1000};
-constexpr Duration UsualRefresh{15000};
+constexpr Duration IncompleteRefreshInterval{1000};
+constexpr Duration RefreshInterval{15000};
 
 // An agent that was just dialled reports within some tens of milliseconds.
-constexpr Duration FirstReportTime{250};
+constexpr Duration FirstReportTimeout{250};
 
 // Of the network interface, for maps: the rest is for heartbeats, orders and reports, and for the other processes of the instance.
-constexpr double BulkPart = 0.5;
+constexpr double BulkFraction = 0.5;
 
 // While maps wait for the interface.
-constexpr Duration BulkTick{10};
+constexpr Duration BulkUpdateInterval{10};
 
 // Of an order besides its map, with all headers.
 constexpr std::size_t MessageOverhead = 150;
 
-std::size_t copiesInTime(const GroupOptions &options)
+std::size_t copiesPerSwitch(const GroupOptions &options)
 {
     const double copies = std::chrono::duration<double>(options.copyTimeBudget) / options.copyTime;
     return static_cast<std::size_t>(std::max(copies, 1.0));
@@ -70,22 +70,22 @@
     , store_(store)
     , callbacks_(std::move(callbacks))
     , switch_({.term = term.number})
-    , reach_(RankReach::Options{})
-    , begunAt_(BootClock::now())
+    , accessPolicy_(DirectAccessPolicy::Options{})
+    , startedAt_(BootClock::now())
     , policy_({.pauseObjective = options.pauseObjective, .copyTime = options.copyTime})
     , planner_({.maxExpertsPerRank = options.maxExpertsPerRank,
                 .maxCopiesPerSet = options.maxCopiesPerSet,
-                .maxCopiesPerRank = copiesInTime(options),
+                .maxCopiesPerRank = copiesPerSwitch(options),
                 .minGain = options.minGain})
-    , pacer_({.bytesPerSecond = options.interfaceBytesPerSecond * BulkPart})
+    , pacer_({.bytesPerSecond = options.interfaceBytesPerSecond * BulkFraction})
     , demand_(options.demandHalfLife)
     , switches_(metrics.counter("magnolia_group_switches_total", "Changes of the expert map that were begun."))
     , copies_(metrics.counter("magnolia_group_copies_total", "Experts that ranks were told to take on."))
-    , timer_(loop, [this] { tick(); })
-    , dropTimer_(loop, [this] { std::erase_if(members_, [this](const auto &known) { return strangers_.contains(known.first); }); })
+    , timer_(loop, [this] { update(); })
+    , dropTimer_(loop, [this] { std::erase_if(members_, [this](const auto &known) { return otherGroupMembers_.contains(known.first); }); })
 {
     refreshMembers();
-    timer_.start(IdleTick);
+    timer_.start(IdleUpdateInterval);
 }
 
 void Coordinator::refreshMembers()
@@ -96,14 +96,14 @@
             return;
         }
         if (members) {
-            takeMembers(*members);
+            updateMembers(*members);
         } else {
             log()->warn("The members can't be read cause={}", members.error().detail);
         }
     });
 }
 
-void Coordinator::takeMembers(const std::vector<MemberAddress> &members)
+void Coordinator::updateMembers(const std::vector<MemberAddress> &members)
 {
     std::erase_if(members_, [&members](const auto &known) {
         return std::none_of(members.begin(), members.end(), [&known](const MemberAddress &member) { return member.id == known.first; });
@@ -111,7 +111,7 @@
     for (const MemberAddress &member : members) {
         if (member.agentAddress == options_.listenAddress) {
             ownEngine_ = member.engineAddress;
-        } else if (!members_.contains(member.id) && !strangers_.contains(member.id)) {
+        } else if (!members_.contains(member.id) && !otherGroupMembers_.contains(member.id)) {
             dialMember(member);
         }
     }
@@ -123,10 +123,10 @@
     members_[id].engineAddress = member.engineAddress;
     members_[id].dialledAt = BootClock::now();
     wire::LinkDialer::Callbacks callbacks;
-    callbacks.onUp = [this, id](const wire::PeerInfo &) { members_[id].link->send(commandFor({.kind = RankOrderKind::Heartbeat})); };
+    callbacks.onUp = [this, id](const wire::PeerInfo &) { members_[id].link->send(makeCommand({.kind = RankOrderKind::Heartbeat})); };
     callbacks.onMessage = [this, id](wire::Message &&message) {
         if (const auto *report = std::get_if<wire::RankReport>(&message)) {
-            takeMemberReport(id, *report);
+            handleMemberReport(id, *report);
         }
     };
     callbacks.onDown = [](const Failure &) {};
@@ -134,60 +134,60 @@
     members_[id].link = wire::LinkDialer::dial(loop_, member.agentAddress, options_.links, std::move(callbacks));
 }
 
-void Coordinator::takeMemberReport(const std::string &id, const wire::RankReport &report)
+void Coordinator::handleMemberReport(const std::string &id, const wire::RankReport &report)
 {
     if (report.group != group_) {
-        strangers_.insert(id);
+        otherGroupMembers_.insert(id);
         dropTimer_.start(Duration(0));
         return;
     }
     members_[id].rank = report.rank;
     members_[id].knownMap = report.knownMap;
-    takeReport(report);
+    handleReport(report);
 }
 
-void Coordinator::takeReport(const wire::RankReport &report)
+void Coordinator::handleReport(const wire::RankReport &report)
 {
-    if (isOvertaken_) {
+    if (isSuperseded_) {
         return;
     }
     if (report.term > term_) {
-        isOvertaken_ = true;
+        isSuperseded_ = true;
         log()->info("Overtaken term={} by={}", term_, report.term);
-        callbacks_.overtaken();
+        callbacks_.onSuperseded();
         return;
     }
     if (report.term < term_) {
         return; // Not yet heard of us: a rival's commands could still reach it.
     }
     const BootTime now = BootClock::now();
-    switch_.reported(stateOf(report), now);
+    switch_.onRankReport(toRankState(report), now);
     if (report.rank == ownRank_) {
-        policy_.reported(report.step, report.running > 0, now);
+        policy_.recordStep(report.step, report.running > 0, now);
     }
-    if (switch_.epoch() != heldEpoch_) {
+    if (switch_.epoch() != epoch_) {
         log()->info("New epoch group={} epoch={} size={}", report.group, switch_.epoch(), switch_.size());
-        heldEpoch_ = switch_.epoch();
-        held_.clear();
-        reach_.reset(switch_.size());
-        witness_.reset();
-    }
-    if (report.epoch == heldEpoch_ && report.rank < switch_.size()) {
-        reach_.heard(report.rank, now);
-        witness_.heard(report.rank, memoryOf(report));
-        switch_.told(report.rank, report.toldVersion);
-    }
-    const bool isHeldNews = !report.experts.empty() && report.epoch == heldEpoch_ && !held_.knows(report.rank, report.expertsVersion);
-    if (isHeldNews) {
-        if (auto experts = decodeSetExperts(report.experts)) {
-            held_.note(report.rank, report.expertsVersion, std::move(*experts));
+        epoch_ = switch_.epoch();
+        assembler_.clear();
+        accessPolicy_.reset(switch_.size());
+        prover_.reset();
+    }
+    if (report.epoch == epoch_ && report.rank < switch_.size()) {
+        accessPolicy_.onAgentReport(report.rank, now);
+        prover_.recordSwitch(report.rank, toSwitchRecord(report));
+        switch_.onPrepareAcknowledged(report.rank, report.toldVersion);
+    }
+    const bool hasNewExperts = !report.experts.empty() && report.epoch == epoch_ && !assembler_.hasRank(report.rank, report.expertsVersion);
+    if (hasNewExperts) {
+        if (auto experts = decodeExpertsBySet(report.experts)) {
+            assembler_.setRank(report.rank, report.expertsVersion, std::move(*experts));
         }
     }
-    takeDemand(report);
-    tick();
+    addDemand(report);
+    update();
 }
 
-void Coordinator::takeDemand(const wire::RankReport &report)
+void Coordinator::addDemand(const wire::RankReport &report)
 {
     if (report.counts.empty()) {
         return;
@@ -197,139 +197,139 @@
         log()->warn("Counts can't be read rank={} cause={}", report.rank, counts.error().detail);
         return;
     }
-    demand_.took(*counts, BootClock::now());
+    demand_.addCounts(*counts, BootClock::now());
 }
 
-bool Coordinator::isInSwitch() const
+bool Coordinator::isSwitchInProgress() const
 {
     const MapSwitch::Phase phase = switch_.phase();
     return phase != MapSwitch::Phase::Unknown && phase != MapSwitch::Phase::Idle && phase != MapSwitch::Phase::Preparing;
 }
 
 /** Asks engines whose agents are silent: a held group must not wait for an agent. */
-void Coordinator::askSilent(BootTime now)
+void Coordinator::queryUnresponsiveEngines(BootTime now)
 {
-    const bool isNeeded = isInSwitch() || switch_.phase() == MapSwitch::Phase::Unknown;
-    if (!isNeeded || !reach_.mayAddress(now)) {
+    const bool isNeeded = isSwitchInProgress() || switch_.phase() == MapSwitch::Phase::Unknown;
+    if (!isNeeded || !accessPolicy_.mayContactEngines(now)) {
         return;
     }
     for (const auto &[id, member] : members_) {
-        if (isUnheard(member, now) && !member.isEngineAsked) {
-            askEngine(id, now);
+        if (isAgentUnresponsive(member, now) && !member.isEngineQueryPending) {
+            queryEngineState(id, now);
         }
     }
 }
 
 /** Its agent has been silent, or was never heard though there was time for it. */
-bool Coordinator::isUnheard(const Member &member, BootTime now) const
+bool Coordinator::isAgentUnresponsive(const Member &member, BootTime now) const
 {
-    return member.rank ? reach_.isSilent(*member.rank, now) : now - member.dialledAt > FirstReportTime;
+    return member.rank ? accessPolicy_.isUnresponsive(*member.rank, now) : now - member.dialledAt > FirstReportTimeout;
 }
 
-void Coordinator::askEngine(const std::string &id, BootTime now)
+void Coordinator::queryEngineState(const std::string &id, BootTime now)
 {
     Member &member = members_[id];
     log()->debug("Agent silent, its engine is asked id={}", id);
-    member.isEngineAsked = true;
+    member.isEngineQueryPending = true;
     engineOf(member).readState([this, id, now, alive = std::weak_ptr<bool>(alive_)](Result<RankState> state) {
         if (alive.expired() || !members_.contains(id)) {
             return;
         }
-        members_[id].isEngineAsked = false;
+        members_[id].isEngineQueryPending = false;
         if (state) {
-            takeEngineState(id, *state, now);
+            handleEngineState(id, *state, now);
         } else {
             log()->info("Engine beside a silent agent does not answer id={} cause={}", id, state.error().detail);
         }
     });
 }
 
-void Coordinator::takeEngineState(const std::string &id, const RankState &state, BootTime askedAt)
+void Coordinator::handleEngineState(const std::string &id, const RankState &state, BootTime queriedAt)
 {
     if (state.group != group_) {
-        strangers_.insert(id);
+        otherGroupMembers_.insert(id);
         dropTimer_.start(Duration(0));
         return;
     }
     const BootTime now = BootClock::now();
-    const bool isOfThis = state.epoch == heldEpoch_ && state.rank < switch_.size();
-    if (!isOfThis || !reach_.mayAddress(now)) {
+    const bool isOfCurrentGroup = state.epoch == epoch_ && state.rank < switch_.size();
+    if (!isOfCurrentGroup || !accessPolicy_.mayContactEngines(now)) {
         return;
     }
     members_[id].rank = state.rank;
-    reach_.engineAsked(state.rank, askedAt);
-    if (!held_.knows(state.rank, state.mapVersion)) {
-        askHeld(id, state.rank);
+    accessPolicy_.onEngineAnswer(state.rank, queriedAt);
+    if (!assembler_.hasRank(state.rank, state.mapVersion)) {
+        queryHeldExperts(id, state.rank);
     }
-    switch_.reported(state, now);
+    switch_.onRankReport(state, now);
 }
 
-void Coordinator::askHeld(const std::string &id, std::uint32_t rank)
+void Coordinator::queryHeldExperts(const std::string &id, std::uint32_t rank)
 {
     members_[id].engine->readHeldExperts([this, rank, alive = std::weak_ptr<bool>(alive_)](Result<HeldExperts> held) {
-        if (!alive.expired() && held && held->epoch == heldEpoch_) {
-            held_.note(rank, held->version, std::move(held->experts));
+        if (!alive.expired() && held && held->epoch == epoch_) {
+            assembler_.setRank(rank, held->version, std::move(held->experts));
         }
     });
 }
 
-void Coordinator::tick()
+void Coordinator::update()
 {
     const BootTime now = BootClock::now();
-    askSilent(now);
-    vouchForPredecessor(now);
+    queryUnresponsiveEngines(now);
+    applyPredecessorProof(now);
     const bool isMapKnown = currentMap().has_value();
-    for (const AddressedOrder &addressed : switch_.due(now)) {
+    for (const AddressedOrder &addressed : switch_.takeDueOrders(now)) {
         const bool isRelease = addressed.order.kind == RankOrderKind::Release;
-        if (!isRelease || reach_.mayRelease(now)) {
-            send(addressed);
+        if (!isRelease || accessPolicy_.mayReleasePass(now)) {
+            dispatchOrder(addressed);
         }
     }
     if (isMapKnown && switch_.canBegin() && now - plannedAt_ >= options_.planInterval) {
         plannedAt_ = now;
-        plan();
+        planSwitch();
     }
     if (switch_.phase() != loggedPhase_) {
         loggedPhase_ = switch_.phase();
         log()->info("Phase={} version={} epoch={} last_step={}", toString(loggedPhase_), switch_.version(), switch_.epoch(), switch_.lastStep());
     }
-    if (now - followedAt_ >= (isInSwitch() ? SwitchFollowInterval : FollowInterval)) {
-        sendFollow();
+    if (now - heartbeatAt_ >= (isSwitchInProgress() ? SwitchHeartbeatInterval : HeartbeatInterval)) {
+        sendHeartbeats();
     }
-    const bool isMissing = switch_.phase() == MapSwitch::Phase::Unknown;
-    if (now - refreshedAt_ >= (isMissing ? MissingRefresh : UsualRefresh)) {
+    const bool isIncomplete = switch_.phase() == MapSwitch::Phase::Unknown;
+    if (now - refreshedAt_ >= (isIncomplete ? IncompleteRefreshInterval : RefreshInterval)) {
         refreshMembers();
     }
     sendBulk(now);
-    const Duration usual = switch_.isIdle() || isMissing ? IdleTick : SwitchTick;
-    timer_.start(bulk_.empty() ? usual : BulkTick);
+    const Duration interval = switch_.isIdle() || isIncomplete ? IdleUpdateInterval : SwitchUpdateInterval;
+    timer_.start(bulkQueue_.empty() ? interval : BulkUpdateInterval);
 }
 
-void Coordinator::sendFollow()
+void Coordinator::sendHeartbeats()
 {
-    followedAt_ = BootClock::now();
-    const wire::RankCommand follow = commandFor({.kind = RankOrderKind::Heartbeat});
+    heartbeatAt_ = BootClock::now();
+    const wire::RankCommand heartbeat = makeCommand({.kind = RankOrderKind::Heartbeat});
     for (const auto &[id, member] : members_) {
-        member.link->send(follow);
+        member.link->send(heartbeat);
     }
 }
 
-void Coordinator::send(const AddressedOrder &addressed)
+void Coordinator::dispatchOrder(const AddressedOrder &addressed)
 {
     const bool isOwn = addressed.rank == ownRank_;
-    if (addressed.via == addressed.rank) {
-        isOwn ? callbacks_.orderOwn(addressed.order) : sendThroughAgent(addressed.rank, addressed.order);
+    if (addressed.senderRank == addressed.rank) {
+        isOwn ? callbacks_.sendToOwnEngine(addressed.order) : sendThroughAgent(addressed.rank, addressed.order);
     } else if (isOwn) {
-        sendByDeputy(addressed.via, addressed.order);
+        sendThroughPeer(addressed.senderRank, addressed.order);
     } else {
-        sendFromAfar(addressed.rank, addressed.order);
+        sendToEngine(addressed.rank, addressed.order);
     }
 }
 
 /** Engines know no terms: one that has been replaced without knowing it could hold a successor's passes. */
-void Coordinator::sendFromAfar(std::uint32_t rank, const RankOrder &order)
+void Coordinator::sendToEngine(std::uint32_t rank, const RankOrder &order)
 {
-    if (!ownRank_ || !reach_.areAllHeard(*ownRank_, BootClock::now())) {
+    if (!ownRank_ || !accessPolicy_.areOthersResponsive(*ownRank_, BootClock::now())) {
         return;
     }
     for (auto &[id, member] : members_) {
@@ -341,13 +341,13 @@
 }
 
 /** Another agent arms the rank beside this one, and remembers that it did. */
-void Coordinator::sendByDeputy(std::uint32_t deputy, const RankOrder &order)
+void Coordinator::sendThroughPeer(std::uint32_t peerRank, const RankOrder &order)
 {
-    wire::RankCommand command = commandFor(order);
+    wire::RankCommand command = makeCommand(order);
     command.peerEngine = ownEngine_;
     command.peerRank = ownRank_.value_or(0);
     for (auto &[id, member] : members_) {
-        if (member.rank == deputy && member.link->isUp() && !ownEngine_.empty()) {
+        if (member.rank == peerRank && member.link->isUp() && !ownEngine_.empty()) {
             member.link->send(command);
             return;
         }
@@ -361,7 +361,7 @@
         if (member.rank != rank) {
             continue;
         }
-        if (isInSwitch() && member.engine != nullptr && reach_.isSilent(rank, now) && reach_.mayAddress(now)) {
+        if (isSwitchInProgress() && member.engine != nullptr && accessPolicy_.isUnresponsive(rank, now) && accessPolicy_.mayContactEngines(now)) {
             log()->info("Order given past a silent agent rank={} kind={} version={} step={}", rank, toString(order.kind), order.version, order.step);
             member.engine->sendOrder(order, [](OrderOutcome) {}); // What it did is read from the engine.
             return;
@@ -369,50 +369,50 @@
         // An engine that was restarted has a second entry of the same rank; the earlier one's link is down.
         if (member.link->isUp()) {
             if (order.kind == RankOrderKind::Prepare) {
-                queueBulk(id, order);
+                enqueueBulk(id, order);
                 return;
             }
-            member.link->send(commandFor(order));
+            member.link->send(makeCommand(order));
             return;
         }
     }
 }
 
 /** One that still waits for the pacer is not queued again: with each retry the queue would only grow. */
-void Coordinator::queueBulk(const std::string &member, const RankOrder &order)
+void Coordinator::enqueueBulk(const std::string &member, const RankOrder &order)
 {
-    const bool isQueued =
-        std::any_of(bulk_.begin(), bulk_.end(), [&](const BulkOrder &queued) { return queued.member == member && queued.order.version == order.version; });
+    const bool isQueued = std::any_of(
+        bulkQueue_.begin(), bulkQueue_.end(), [&](const BulkOrder &queued) { return queued.member == member && queued.order.version == order.version; });
     if (!isQueued) {
-        bulk_.push_back({.member = member, .order = order});
+        bulkQueue_.push_back({.member = member, .order = order});
     }
 }
 
 /** Tells maps as fast as the pacer allows. */
 void Coordinator::sendBulk(BootTime now)
 {
-    while (!bulk_.empty()) {
-        const BulkOrder &next = bulk_.front();
+    while (!bulkQueue_.empty()) {
+        const BulkOrder &next = bulkQueue_.front();
         const auto member = members_.find(next.member);
         // A change that was given up or got further meanwhile needs them no more.
-        const bool isWanted = member != members_.end() && next.order.version == switch_.wantedVersion();
+        const bool isWanted = member != members_.end() && next.order.version == switch_.versionToPrepare();
         if (isWanted) {
-            const MapCourier::Form form = courier_.formFor(next.order, member->second.knownMap);
-            if (!pacer_.take(form.map.size() + MessageOverhead, now)) {
+            const MapEncoder::Encoding encoding = mapEncoder_.encode(next.order, member->second.knownMap);
+            if (!pacer_.tryConsume(encoding.map.size() + MessageOverhead, now)) {
                 return;
             }
-            wire::RankCommand command = commandFor(next.order);
-            command.mapBase = form.base;
-            command.map = form.map;
+            wire::RankCommand command = makeCommand(next.order);
+            command.mapBase = encoding.base;
+            command.map = encoding.map;
             member->second.link->send(command);
         }
-        bulk_.pop_front();
+        bulkQueue_.pop_front();
     }
 }
 
-wire::RankCommand Coordinator::commandFor(const RankOrder &order) const
+wire::RankCommand Coordinator::makeCommand(const RankOrder &order) const
 {
-    wire::RankCommand command = commandOf(order, group_, term_);
+    wire::RankCommand command = toCommand(order, group_, term_);
     command.coordinator = ownRank_ ? *ownRank_ + 1 : 0;
     return command;
 }
@@ -426,10 +426,10 @@
 }
 
 /** Lets a held group go on without the rank of a predecessor that can't be reached, if the others' word proves its state. */
-void Coordinator::vouchForPredecessor(BootTime now)
+void Coordinator::applyPredecessorProof(BootTime now)
 {
-    const bool isAsked = switch_.phase() == MapSwitch::Phase::Unknown && predecessor_.term > 0 && now - begunAt_ >= VouchAfter;
-    if (!isAsked || predecessor_.rank >= switch_.size()) {
+    const bool mayProve = switch_.phase() == MapSwitch::Phase::Unknown && predecessor_.term > 0 && now - startedAt_ >= ProofDelay;
+    if (!mayProve || predecessor_.rank >= switch_.size()) {
         return;
     }
     for (std::uint32_t rank = 0; rank < switch_.size(); ++rank) {
@@ -438,33 +438,33 @@
             return; // It has reported, or another has not.
         }
     }
-    const auto proof = witness_.judge({.rank = predecessor_.rank, .size = switch_.size(), .epoch = switch_.epoch(), .term = predecessor_.term});
+    const auto proof = prover_.prove({.rank = predecessor_.rank, .size = switch_.size(), .epoch = switch_.epoch(), .term = predecessor_.term});
     if (!proof) {
         return;
     }
     log()->info(
         "The others prove the state of a rank that can't be reached rank={} armed={} term={}", predecessor_.rank, proof->armed.has_value(), predecessor_.term);
-    switch_.vouch(predecessor_.rank, proof->armed, now);
-    noteMap();
+    switch_.setProvenState(predecessor_.rank, proof->armed, now);
+    refreshMap();
 }
 
 /** @return nothing while ranks report different versions. Joined only when a rank's experts changed: reports come often. */
 const std::optional<ExpertMap> &Coordinator::currentMap()
 {
-    if (held_.takeNews()) {
-        noteMap();
+    if (assembler_.takeChanged()) {
+        refreshMap();
     }
     return currentMap_;
 }
 
-void Coordinator::noteMap()
+void Coordinator::refreshMap()
 {
-    currentMap_ = held_.joined(switch_.size());
-    courier_.setBase(currentMap_ ? held_.version() : 0, currentMap_.value_or(ExpertMap()));
-    const auto absent = switch_.vouchedRank();
-    const auto fallback = currentMap_ || !absent ? currentMap_ : held_.joinedWithout(*absent, switch_.size(), options_.expertsPerSet);
+    currentMap_ = assembler_.assemble(switch_.size());
+    mapEncoder_.setBase(currentMap_ ? assembler_.version() : 0, currentMap_.value_or(ExpertMap()));
+    const auto absent = switch_.provenRank();
+    const auto fallback = currentMap_ || !absent ? currentMap_ : assembler_.assembleWithout(*absent, switch_.size(), options_.expertsPerSet);
     if (fallback) {
-        switch_.setCurrent(*fallback);
+        switch_.setFallbackMap(*fallback);
     }
 }
 
@@ -479,7 +479,7 @@
     return paces;
 }
 
-void Coordinator::plan()
+void Coordinator::planSwitch()
 {
     const auto &current = currentMap();
     if (!current || current->empty() || demand_.isEmpty()) {
@@ -487,7 +487,7 @@
     }
     const auto demand = demand_.shares(current->size());
     const auto paces = rankPaces();
-    if (!policy_.wantsChange(ReplicaPlanner::load(*current, demand, paces) / static_cast<double>(current->size()))) {
+    if (!policy_.needsChange(ReplicaPlanner::load(*current, demand, paces) / static_cast<double>(current->size()))) {
         return;
     }
     auto plan = planner_.plan(*current, demand, paces);
--- a/libs/group/src/coordinator.h
+++ b/libs/group/src/coordinator.h
@@ -2,19 +2,19 @@
 #define MAGNOLIA_GROUP_COORDINATOR_H
 
 #include "bulkpacer.h"
+#include "group/armedstateprover.h"
 #include "group/changepolicy.h"
+#include "group/directaccesspolicy.h"
 #include "group/engineport.h"
 #include "group/expertdemand.h"
 #include "group/grouptask.h"
 #include "group/mapswitch.h"
-#include "group/rankreach.h"
-#include "group/rankwitness.h"
 #include "group/replicaplanner.h"
 #include "groupcodec.h"
-#include "heldmaps.h"
 #include "http/timer.h"
+#include "mapassembler.h"
 #include "mapcodec.h"
-#include "mapcourier.h"
+#include "mapencoder.h"
 #include "observe/metrics.h"
 
 #include <deque>
@@ -51,8 +51,8 @@
     };
 
     struct Callbacks {
-        std::function<void(const RankOrder &)> orderOwn{}; ///< For the engine beside this agent.
-        std::function<void()> overtaken{}; ///< A higher term was heard of; may destroy this behind the callback.
+        std::function<void(const RankOrder &)> sendToOwnEngine{}; ///< For the engine beside this agent.
+        std::function<void()> onSuperseded{}; ///< A higher term was heard of; may destroy this behind the callback.
     };
 
     Coordinator(event_base *loop,
@@ -65,7 +65,7 @@
     Coordinator(const Coordinator &) = delete;
     Coordinator &operator=(const Coordinator &) = delete;
 
-    void takeReport(const wire::RankReport &report);
+    void handleReport(const wire::RankReport &report);
     void setOwnRank(std::uint32_t rank)
     {
         ownRank_ = rank;
@@ -78,7 +78,7 @@
         std::optional<std::uint32_t> rank;
         std::string engineAddress;
         std::unique_ptr<EnginePort> engine; ///< Spoken to only while the agent is silent.
-        bool isEngineAsked = false; ///< An answer of the engine is awaited.
+        bool isEngineQueryPending = false; ///< An answer of the engine is awaited.
         BootTime dialledAt;
         std::uint64_t knownMap = 0; ///< Version of the map in use, if its agent says that it was told that one.
     };
@@ -90,30 +90,30 @@
     };
 
     void refreshMembers();
-    void takeMembers(const std::vector<MemberAddress> &members);
+    void updateMembers(const std::vector<MemberAddress> &members);
     void dialMember(const MemberAddress &member);
-    void takeMemberReport(const std::string &id, const wire::RankReport &report);
-    void tick();
-    void askSilent(BootTime now);
-    bool isUnheard(const Member &member, BootTime now) const;
-    void askEngine(const std::string &id, BootTime now);
-    void takeEngineState(const std::string &id, const RankState &state, BootTime askedAt);
-    void askHeld(const std::string &id, std::uint32_t rank);
-    bool isInSwitch() const;
-    void takeDemand(const wire::RankReport &report);
-    void plan();
-    void sendFollow();
-    void send(const AddressedOrder &addressed);
-    void queueBulk(const std::string &member, const RankOrder &order);
+    void handleMemberReport(const std::string &id, const wire::RankReport &report);
+    void update();
+    void queryUnresponsiveEngines(BootTime now);
+    bool isAgentUnresponsive(const Member &member, BootTime now) const;
+    void queryEngineState(const std::string &id, BootTime now);
+    void handleEngineState(const std::string &id, const RankState &state, BootTime queriedAt);
+    void queryHeldExperts(const std::string &id, std::uint32_t rank);
+    bool isSwitchInProgress() const;
+    void addDemand(const wire::RankReport &report);
+    void planSwitch();
+    void sendHeartbeats();
+    void dispatchOrder(const AddressedOrder &addressed);
+    void enqueueBulk(const std::string &member, const RankOrder &order);
     void sendBulk(BootTime now);
-    void sendFromAfar(std::uint32_t rank, const RankOrder &order);
-    void sendByDeputy(std::uint32_t deputy, const RankOrder &order);
+    void sendToEngine(std::uint32_t rank, const RankOrder &order);
+    void sendThroughPeer(std::uint32_t peerRank, const RankOrder &order);
     void sendThroughAgent(std::uint32_t rank, const RankOrder &order);
     EnginePort &engineOf(Member &member);
-    wire::RankCommand commandFor(const RankOrder &order) const;
-    void vouchForPredecessor(BootTime now);
+    wire::RankCommand makeCommand(const RankOrder &order) const;
+    void applyPredecessorProof(BootTime now);
     const std::optional<ExpertMap> &currentMap();
-    void noteMap();
+    void refreshMap();
     std::vector<double> rankPaces() const;
 
     event_base *loop_;
@@ -125,25 +125,25 @@
     GroupStore &store_;
     Callbacks callbacks_;
     MapSwitch switch_;
-    RankReach reach_;
-    RankWitness witness_;
-    BootTime begunAt_; ///< When this term began.
+    DirectAccessPolicy accessPolicy_;
+    ArmedStateProver prover_;
+    BootTime startedAt_; ///< When this term began.
     std::string ownEngine_; ///< Address of the engine beside this agent, once the list of members has told it.
     ChangePolicy policy_;
     ReplicaPlanner planner_;
-    MapCourier courier_;
+    MapEncoder mapEncoder_;
     BulkPacer pacer_;
-    std::deque<BulkOrder> bulk_; ///< Waits for the pacer.
+    std::deque<BulkOrder> bulkQueue_; ///< Waits for the pacer.
     std::optional<std::uint32_t> ownRank_;
     std::map<std::string, Member> members_; ///< By the id of their engine's run.
-    std::set<std::string> strangers_; ///< Ids of engines of other groups.
-    HeldMaps held_;
-    std::optional<std::uint64_t> heldEpoch_; ///< Of held_ and reach_; nothing before the first report.
+    std::set<std::string> otherGroupMembers_; ///< Ids of engines of other groups.
+    MapAssembler assembler_;
+    std::optional<std::uint64_t> epoch_; ///< Of held_ and reach_; nothing before the first report.
     std::optional<ExpertMap> currentMap_; ///< Joined from held_.
-    bool isOvertaken_ = false;
+    bool isSuperseded_ = false;
     ExpertDemand demand_;
     BootTime plannedAt_;
-    BootTime followedAt_;
+    BootTime heartbeatAt_;
     BootTime refreshedAt_;
     MapSwitch::Phase loggedPhase_ = MapSwitch::Phase::Unknown;
     observe::Counter &switches_;
--- a/libs/group/src/groupcodec.cpp
+++ b/libs/group/src/groupcodec.cpp
@@ -11,23 +11,23 @@
 namespace
 {
 
-constexpr double Thousand = 1000;
+constexpr double ThousandthsPerUnit = 1000;
 
-Result<ExpertMap> mapOf(const wire::RankCommand &command, const KnownMaps &known)
+Result<ExpertMap> decodeOrderMap(const wire::RankCommand &command, const KnownMaps &knownMaps)
 {
     if (command.mapBase == 0) {
         return decodeMap(command.map);
     }
-    const ExpertMap *base = known.find(command.mapBase);
+    const ExpertMap *base = knownMaps.find(command.mapBase);
     if (base == nullptr) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "a change of a map that is not known: " + std::to_string(command.mapBase));
     }
-    return applyMapChange(*base, command.map);
+    return applyMapDelta(*base, command.map);
 }
 
 } // namespace
 
-wire::RankReport reportOf(const RankState &state)
+wire::RankReport toReport(const RankState &state)
 {
     wire::RankReport report;
     report.group = state.group;
@@ -44,11 +44,11 @@
     report.heldStep = state.heldStep.value_or(0);
     report.running = state.runningRequests;
     report.waiting = state.waitingRequests;
-    report.paceThousandths = static_cast<std::uint32_t>(std::lround(state.pace * Thousand));
+    report.paceThousandths = static_cast<std::uint32_t>(std::lround(state.pace * ThousandthsPerUnit));
     return report;
 }
 
-RankState stateOf(const wire::RankReport &report)
+RankState toRankState(const wire::RankReport &report)
 {
     RankState state;
     state.group = report.group;
@@ -67,37 +67,37 @@
     }
     state.runningRequests = report.running;
     state.waitingRequests = report.waiting;
-    state.pace = report.paceThousandths / Thousand;
+    state.pace = report.paceThousandths / ThousandthsPerUnit;
     return state;
 }
 
-void putMemory(wire::RankReport &report, const RankMemory &memory)
+void writeSwitchRecord(wire::RankReport &report, const SwitchRecord &record)
 {
-    report.toldVersion = memory.told;
-    report.isToldFresh = memory.isFresh;
-    if (memory.peerArm) {
-        report.peerArmVersion = memory.peerArm->version;
-        report.peerArmEpoch = memory.peerArm->epoch;
-        report.peerArmStep = memory.peerArm->step;
-        report.peerArmRank = memory.peerArm->rank;
-        report.isPeerArmAccepted = memory.peerArm->isAccepted;
+    report.toldVersion = record.preparedVersion;
+    report.isToldFresh = record.isFresh;
+    if (record.peerArm) {
+        report.peerArmVersion = record.peerArm->version;
+        report.peerArmEpoch = record.peerArm->epoch;
+        report.peerArmStep = record.peerArm->step;
+        report.peerArmRank = record.peerArm->rank;
+        report.isPeerArmAccepted = record.peerArm->isAccepted;
     }
 }
 
-RankMemory memoryOf(const wire::RankReport &report)
+SwitchRecord toSwitchRecord(const wire::RankReport &report)
 {
-    RankMemory memory{.told = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .map = report.map};
+    SwitchRecord record{.preparedVersion = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .map = report.map};
     if (report.peerArmVersion > 0) {
-        memory.peerArm = PeerArm{.rank = report.peerArmRank,
+        record.peerArm = PeerArm{.rank = report.peerArmRank,
                                  .epoch = report.peerArmEpoch,
                                  .version = report.peerArmVersion,
                                  .step = report.peerArmStep,
                                  .isAccepted = report.isPeerArmAccepted};
     }
-    return memory;
+    return record;
 }
 
-wire::RankCommand commandOf(const RankOrder &order, std::string_view group, std::uint64_t term)
+wire::RankCommand toCommand(const RankOrder &order, std::string_view group, std::uint64_t term)
 {
     return {.group = std::string(group),
             .term = term,
@@ -109,7 +109,7 @@
             .isFresh = order.isFresh};
 }
 
-Result<RankOrder> orderOf(const wire::RankCommand &command, const KnownMaps &known)
+Result<RankOrder> toOrder(const wire::RankCommand &command, const KnownMaps &knownMaps)
 {
     if (command.kind > static_cast<std::uint8_t>(RankOrderKind::Release)) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "no such kind of command");
@@ -117,7 +117,7 @@
     RankOrder order{.kind = static_cast<RankOrderKind>(command.kind), .epoch = command.epoch, .version = command.version, .step = command.step};
     order.isFresh = command.isFresh;
     if (order.kind == RankOrderKind::Prepare) {
-        auto map = mapOf(command, known);
+        auto map = decodeOrderMap(command, knownMaps);
         if (!map) {
             return tl::unexpected(map.error());
         }
--- a/libs/group/src/groupcodec.h
+++ b/libs/group/src/groupcodec.h
@@ -2,8 +2,8 @@
 #define MAGNOLIA_GROUP_GROUPCODEC_H
 
 #include "base/failure.h"
+#include "group/armedstateprover.h"
 #include "group/rankstate.h"
-#include "group/rankwitness.h"
 #include "knownmaps.h"
 #include "wire/messages.h"
 
@@ -15,16 +15,16 @@
 namespace magnolia::group
 {
 
-wire::RankReport reportOf(const RankState &state);
-RankState stateOf(const wire::RankReport &report);
-void putMemory(wire::RankReport &report, const RankMemory &memory);
-RankMemory memoryOf(const wire::RankReport &report);
+wire::RankReport toReport(const RankState &state);
+RankState toRankState(const wire::RankReport &report);
+void writeSwitchRecord(wire::RankReport &report, const SwitchRecord &record);
+SwitchRecord toSwitchRecord(const wire::RankReport &report);
 
 /** Without the order's map, for which there are two forms. */
-wire::RankCommand commandOf(const RankOrder &order, std::string_view group, std::uint64_t term);
+wire::RankCommand toCommand(const RankOrder &order, std::string_view group, std::uint64_t term);
 
 /** @param known maps that were told, for a command that tells only what differs from one of them. */
-Result<RankOrder> orderOf(const wire::RankCommand &command, const KnownMaps &known);
+Result<RankOrder> toOrder(const wire::RankCommand &command, const KnownMaps &knownMaps);
 
 } // namespace magnolia::group
 
--- a/libs/group/src/grouptask.cpp
+++ b/libs/group/src/grouptask.cpp
@@ -29,21 +29,21 @@
 
 // Agents take the place of a silent coordinator in turn, in the order of ranks behind it: each has this time to reach the others of the group
 // before the next one tries. Else all ask the store at once, and several take the place one after the other, each undoing what the last began.
-constexpr Duration Turn{250};
-constexpr std::uint32_t MostTurns = 6; // Those behind wait for the same turn, and a random time more.
-constexpr Duration PatienceSpread{400};
+constexpr Duration TurnInterval{250};
+constexpr std::uint32_t MaxTurns = 6; // Those behind wait for the same turn, and a random time more.
+constexpr Duration MaxClaimJitter{400};
 
 // An engine beside its agent answers an order within some milliseconds. One without an answer may be carried out seconds later,
 // and the whole group waits for the last rank's copy, longer than for all others if only the coordinator noticed. Given again it does no harm: a
 // version is taken once.
-constexpr Duration PrepareAnswer{50};
-constexpr std::uint32_t MostPrepareTries = 4;
+constexpr Duration PrepareAnswerTimeout{50};
+constexpr std::uint32_t MaxPrepareTries = 4;
 
 // Connections to other ranks' engines that are kept: one for each coordinator that was followed lately.
-constexpr std::size_t MostPeerEngines = 4;
+constexpr std::size_t MaxPeerEngines = 4;
 
 // After an order reports are looked for more often: a copy of an expert takes some tenths of a second, the rest less.
-constexpr Duration SwitchTime{1000};
+constexpr Duration FastPollTime{1000};
 
 std::shared_ptr<spdlog::logger> log()
 {
@@ -52,7 +52,7 @@
 }
 
 /** Whether a switch may go on by it: passes and load change all the time, and are told with the next report. */
-bool isNewsForSwitch(const RankState &before, RankState now)
+bool isRelevantToSwitch(const RankState &before, RankState now)
 {
     now.step = before.step;
     now.runningRequests = before.runningRequests;
@@ -74,9 +74,9 @@
         , random_(seededRandom())
         , pollTimer_(loop, [this] { poll(); })
         , resignTimer_(loop, [this] { coordinator_.reset(); })
-        , prepareTimer_(loop, [this] { prepareAgain(); })
-        , heardAt_(BootClock::now())
-        , spread_(std::uniform_int_distribution<Duration::rep>(0, PatienceSpread.count())(random_))
+        , prepareTimer_(loop, [this] { retryPrepare(); })
+        , coordinatorHeardAt_(BootClock::now())
+        , claimJitter_(std::uniform_int_distribution<Duration::rep>(0, MaxClaimJitter.count())(random_))
     {
     }
     ~GroupTaskImpl() override = default;
@@ -86,22 +86,22 @@
     Result<void> listen();
 
 private:
-    Duration patience() const;
+    Duration claimDelay() const;
     void poll();
-    bool noteState(const RankState &state);
-    void takeState(const RankState &state);
-    void takeCounts(const ExpertCounts &counts);
-    void readHeldIfNew();
-    void publish();
-    bool isCountsTurn() const;
-    bool isExpertsTurn() const;
-    void takeCommand(const wire::RankCommand &command);
-    void carryOut(const RankOrder &order);
-    void give(const RankOrder &order);
-    void prepareAgain();
+    bool acceptState(const RankState &state);
+    void handleState(const RankState &state);
+    void handleCounts(const ExpertCounts &counts);
+    void readHeldExpertsIfChanged();
+    void sendReport();
+    bool areCountsDue() const;
+    bool areExpertsDue() const;
+    void handleCommand(const wire::RankCommand &command);
+    void executeOrder(const RankOrder &order);
+    void forwardOrder(const RankOrder &order);
+    void retryPrepare();
     void armPeer(const RankOrder &order, const std::string &address, std::uint32_t rank);
-    void contendIfSilent();
-    void takeRow(const CoordinatorRow &row);
+    void claimTermIfSilent();
+    void handleRow(const CoordinatorRow &row);
     void becomeCoordinator(std::uint64_t term);
 
     template<typename T, typename F>
@@ -130,30 +130,30 @@
     std::uint64_t lastLink_ = 0;
 
     std::optional<RankState> state_;
-    std::optional<ExpertCounts> counted_; ///< As of the last report.
-    std::vector<std::uint64_t> news_; ///< Choices between the last two looks; empty once they have been told.
-    struct ExpertsTold {
+    std::optional<ExpertCounts> lastCounts_; ///< As of the last report.
+    std::vector<std::uint64_t> newCounts_; ///< Choices between the last two looks; empty once they have been told.
+    struct ReportedExperts {
         std::uint64_t epoch = 0;
         std::uint64_t version = 0;
         BootTime at{};
     };
 
-    RankOrder preparing_; ///< The order to prepare that was given last.
-    KnownMaps known_; ///< Maps that coordinators told.
-    RankMemory memory_; ///< What a successor of the coordinator may ask of it.
+    RankOrder pendingPrepare_; ///< The order to prepare that was given last.
+    KnownMaps knownMaps_; ///< Maps that coordinators told.
+    SwitchRecord switchRecord_; ///< What a successor of the coordinator may ask of it.
     std::map<std::string, std::unique_ptr<EnginePort>> peerEngines_; ///< By address: other ranks' that were armed from here.
-    Coordinator::Predecessor followed_; ///< The coordinator last heeded.
-    HeldExperts held_;
-    bool isHeldKnown_ = false;
-    ExpertsTold expertsTold_; ///< In the last report that listed them.
+    Coordinator::Predecessor followedCoordinator_; ///< The coordinator last heeded.
+    HeldExperts heldExperts_;
+    bool areHeldExpertsKnown_ = false;
+    ReportedExperts reportedExperts_; ///< In the last report that listed them.
     std::uint64_t term_ = 0; ///< Highest heard of.
-    BootTime heardAt_;
-    BootTime commandedAt_; ///< When the engine was last given an order.
-    BootTime countedAt_;
+    BootTime coordinatorHeardAt_;
+    BootTime orderedAt_; ///< When the engine was last given an order.
+    BootTime countsReadAt_;
     BootTime countsSentAt_;
-    const Duration spread_; ///< Of this agent among those that have the last turn.
-    bool isContending_ = false;
-    CoordinatorRow row_;
+    const Duration claimJitter_; ///< Of this agent among those that have the last turn.
+    bool isClaiming_ = false;
+    CoordinatorRow lastRow_;
     std::unique_ptr<Coordinator> coordinator_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -163,12 +163,12 @@
     auto listener = wire::LinkListener::listen(loop_, options_.listenAddress, options_.links, [this](std::unique_ptr<wire::Link> link) {
         const std::uint64_t number = ++lastLink_;
         links_.emplace(number, std::move(link));
-        expertsTold_ = {};
+        reportedExperts_ = {};
         return wire::Link::Callbacks{.onReady = {},
                                      .onMessage =
                                          [this](wire::Message &&message) {
                                              if (const auto *command = std::get_if<wire::RankCommand>(&message)) {
-                                                 takeCommand(*command);
+                                                 handleCommand(*command);
                                              }
                                          },
                                      .onClosed = [this, number](const Failure &) { links_.erase(number); }};
@@ -182,124 +182,124 @@
 }
 
 /** How long this agent waits for a coordinator's word before it takes its place. */
-Duration GroupTaskImpl::patience() const
+Duration GroupTaskImpl::claimDelay() const
 {
     if (state_->heldStep) {
         return options_.heldCoordinatorTimeout;
     }
     const std::uint32_t size = std::max(state_->size, 1U); // An engine may say anything of itself.
-    const std::uint32_t before = followed_.term > 0 ? followed_.rank + 1 : 0; // Counted from 1; 0: no coordinator was followed yet.
+    const std::uint32_t before = followedCoordinator_.term > 0 ? followedCoordinator_.rank + 1 : 0; // Counted from 1; 0: no coordinator was followed yet.
     const std::uint32_t turn = (state_->rank % size + size - before % size) % size;
-    return options_.coordinatorTimeout + Turn * std::min(turn, MostTurns) + (turn < MostTurns ? Duration(0) : spread_);
+    return options_.coordinatorTimeout + TurnInterval * std::min(turn, MaxTurns) + (turn < MaxTurns ? Duration(0) : claimJitter_);
 }
 
 void GroupTaskImpl::poll()
 {
-    const bool isSwitching = BootClock::now() < commandedAt_ + SwitchTime;
+    const bool isSwitching = BootClock::now() < orderedAt_ + FastPollTime;
     pollTimer_.start(isSwitching ? options_.switchPollInterval : options_.pollInterval);
     engine_.readState(guarded<Result<RankState>>([this](Result<RankState> state) {
         if (state) {
-            takeState(*state);
+            handleState(*state);
         }
     }));
 }
 
 /** Whatever the state was read for. @return false if it is of an earlier run of the engine, and not believed. */
-bool GroupTaskImpl::noteState(const RankState &state)
+bool GroupTaskImpl::acceptState(const RankState &state)
 {
     if (state_ && state.incarnation < state_->incarnation) {
         return false; // An answer that was overtaken by one of this run.
     }
     if (state_ && state.incarnation != state_->incarnation) {
         log()->info("The engine has started again incarnation={} before={}", state.incarnation, state_->incarnation);
-        isHeldKnown_ = false;
-        counted_.reset();
-        news_.clear();
+        areHeldExpertsKnown_ = false;
+        lastCounts_.reset();
+        newCounts_.clear();
     }
     state_ = state;
     return true;
 }
 
-void GroupTaskImpl::takeState(const RankState &state)
+void GroupTaskImpl::handleState(const RankState &state)
 {
     const std::optional<RankState> before = state_;
-    if (!noteState(state)) {
+    if (!acceptState(state)) {
         return;
     }
     if (state.isOpen && (!before || !before->isOpen)) {
         // All agents see the group open at the same moment, most of them long without a coordinator's word.
-        heardAt_ = std::max(heardAt_, BootClock::now() - options_.coordinatorTimeout);
+        coordinatorHeardAt_ = std::max(coordinatorHeardAt_, BootClock::now() - options_.coordinatorTimeout);
     }
-    const bool hasChanged = !before || isNewsForSwitch(*before, state);
-    readHeldIfNew();
-    contendIfSilent();
+    const bool hasChanged = !before || isRelevantToSwitch(*before, state);
+    readHeldExpertsIfChanged();
+    claimTermIfSilent();
     const BootTime now = BootClock::now();
-    if (now < countedAt_ + options_.pollInterval) {
+    if (now < countsReadAt_ + options_.pollInterval) {
         if (hasChanged) {
-            publish();
+            sendReport();
         }
         return;
     }
-    countedAt_ = now;
+    countsReadAt_ = now;
     engine_.readCounts(guarded<Result<ExpertCounts>>([this](Result<ExpertCounts> counts) {
         if (counts) {
-            takeCounts(*counts);
+            handleCounts(*counts);
         }
-        publish();
+        sendReport();
     }));
 }
 
-void GroupTaskImpl::takeCounts(const ExpertCounts &counts)
+void GroupTaskImpl::handleCounts(const ExpertCounts &counts)
 {
     if (state_ && counts.incarnation < state_->incarnation) {
         return; // Of the run before.
     }
-    const bool isContinued = counted_ && counted_->counts.size() == counts.counts.size() && counted_->incarnation == counts.incarnation;
-    news_.assign(counts.counts.size(), 0);
+    const bool isContinued = lastCounts_ && lastCounts_->counts.size() == counts.counts.size() && lastCounts_->incarnation == counts.incarnation;
+    newCounts_.assign(counts.counts.size(), 0);
     for (std::size_t index = 0; isContinued && index < counts.counts.size(); ++index) {
-        const std::uint64_t before = counted_->counts[index];
-        news_[index] = counts.counts[index] >= before ? counts.counts[index] - before : counts.counts[index]; // Less: the engine is new.
+        const std::uint64_t before = lastCounts_->counts[index];
+        newCounts_[index] = counts.counts[index] >= before ? counts.counts[index] - before : counts.counts[index]; // Less: the engine is new.
     }
-    counted_ = counts;
+    lastCounts_ = counts;
 }
 
-void GroupTaskImpl::readHeldIfNew()
+void GroupTaskImpl::readHeldExpertsIfChanged()
 {
     // Versions begin anew with each epoch.
-    if (isHeldKnown_ && held_.version == state_->mapVersion && held_.epoch == state_->epoch) {
+    if (areHeldExpertsKnown_ && heldExperts_.version == state_->mapVersion && heldExperts_.epoch == state_->epoch) {
         return;
     }
     engine_.readHeldExperts(guarded<Result<HeldExperts>>([this](Result<HeldExperts> held) {
         if (held) {
-            held_ = std::move(*held);
-            isHeldKnown_ = true;
-            publish();
+            heldExperts_ = std::move(*held);
+            areHeldExpertsKnown_ = true;
+            sendReport();
         }
     }));
 }
 
-void GroupTaskImpl::publish()
+void GroupTaskImpl::sendReport()
 {
     if (!state_) {
         return;
     }
-    wire::RankReport report = reportOf(*state_);
+    wire::RankReport report = toReport(*state_);
     report.term = term_;
-    putMemory(report, memory_);
-    report.knownMap = known_.find(state_->mapVersion) != nullptr ? state_->mapVersion : 0;
-    if (isHeldKnown_ && held_.epoch == state_->epoch && isExpertsTurn()) {
-        report.expertsVersion = held_.version;
-        report.experts = encodeSetExperts(held_.experts);
-        expertsTold_ = {.epoch = held_.epoch, .version = held_.version, .at = BootClock::now()};
+    writeSwitchRecord(report, switchRecord_);
+    report.knownMap = knownMaps_.find(state_->mapVersion) != nullptr ? state_->mapVersion : 0;
+    if (areHeldExpertsKnown_ && heldExperts_.epoch == state_->epoch && areExpertsDue()) {
+        report.expertsVersion = heldExperts_.version;
+        report.experts = encodeExpertsBySet(heldExperts_.experts);
+        reportedExperts_ = {.epoch = heldExperts_.epoch, .version = heldExperts_.version, .at = BootClock::now()};
     }
-    if (isCountsTurn()) {
-        report.counts = encodeCounts(news_);
-        news_.clear();
+    if (areCountsDue()) {
+        report.counts = encodeCounts(newCounts_);
+        newCounts_.clear();
         countsSentAt_ = BootClock::now();
     }
     if (coordinator_ != nullptr) {
         coordinator_->setOwnRank(state_->rank);
-        coordinator_->takeReport(report);
+        coordinator_->handleReport(report);
     }
     for (const auto &[number, link] : links_) {
         link->send(report);
@@ -307,40 +307,40 @@
 }
 
 /** Whether the next report lists the experts: if they changed, and now and then, as a coordinator may be new. */
-bool GroupTaskImpl::isExpertsTurn() const
+bool GroupTaskImpl::areExpertsDue() const
 {
-    const bool isNews = expertsTold_.epoch != held_.epoch || expertsTold_.version != held_.version;
-    return isNews || BootClock::now() >= expertsTold_.at + ExpertsInterval;
+    const bool isChanged = reportedExperts_.epoch != heldExperts_.epoch || reportedExperts_.version != heldExperts_.version;
+    return isChanged || BootClock::now() >= reportedExperts_.at + ExpertsInterval;
 }
 
 /** Whether the next report carries counts. */
-bool GroupTaskImpl::isCountsTurn() const
+bool GroupTaskImpl::areCountsDue() const
 {
-    const bool isAnyNew = std::any_of(news_.begin(), news_.end(), [](std::uint64_t count) { return count > 0; });
+    const bool isAnyNew = std::any_of(newCounts_.begin(), newCounts_.end(), [](std::uint64_t count) { return count > 0; });
     if (!isAnyNew || (coordinator_ == nullptr && links_.empty())) {
         return false;
     }
-    const double seconds = static_cast<double>(news_.size() * state_->size) / CountsPerSecond;
+    const double seconds = static_cast<double>(newCounts_.size() * state_->size) / CountsPerSecond;
     return BootClock::now() >= countsSentAt_ + std::chrono::duration_cast<BootClock::duration>(std::chrono::duration<double>(seconds));
 }
 
-void GroupTaskImpl::takeCommand(const wire::RankCommand &command)
+void GroupTaskImpl::handleCommand(const wire::RankCommand &command)
 {
     const bool isOfOtherGroup = state_ && command.group != state_->group;
     if (isOfOtherGroup || command.term < term_) {
-        publish(); // Tells it of the group, or of the higher term.
+        sendReport(); // Tells it of the group, or of the higher term.
         return;
     }
     if (command.term > term_) {
         log()->info("Follows term={} before={}", command.term, term_);
         term_ = command.term;
         coordinator_.reset();
-        expertsTold_ = {};
-        publish();
+        reportedExperts_ = {};
+        sendReport();
     }
-    heardAt_ = BootClock::now();
-    followed_ = command.coordinator > 0 ? Coordinator::Predecessor{.term = term_, .rank = command.coordinator - 1} : Coordinator::Predecessor{};
-    const auto order = orderOf(command, known_);
+    coordinatorHeardAt_ = BootClock::now();
+    followedCoordinator_ = command.coordinator > 0 ? Coordinator::Predecessor{.term = term_, .rank = command.coordinator - 1} : Coordinator::Predecessor{};
+    const auto order = toOrder(command, knownMaps_);
     if (!order) {
         log()->warn("A command can't be read cause={}", order.error().detail);
         return;
@@ -348,7 +348,7 @@
     if (!command.peerEngine.empty()) {
         armPeer(*order, command.peerEngine, command.peerRank);
     } else if (order->kind != RankOrderKind::Heartbeat) {
-        carryOut(*order);
+        executeOrder(*order);
     }
 }
 
@@ -356,12 +356,12 @@
 void GroupTaskImpl::armPeer(const RankOrder &order, const std::string &address, std::uint32_t rank)
 {
     const PeerArm given{.rank = rank, .epoch = order.epoch, .version = order.version, .step = order.step};
-    const bool isRepeat = memory_.peerArm && memory_.peerArm->version == given.version && memory_.peerArm->step == given.step;
+    const bool isRepeat = switchRecord_.peerArm && switchRecord_.peerArm->version == given.version && switchRecord_.peerArm->step == given.step;
     if (!isRepeat) {
-        memory_.peerArm = given; // Before it is given: from now on it may be carried out.
-        publish();
+        switchRecord_.peerArm = given; // Before it is given: from now on it may be carried out.
+        sendReport();
     }
-    if (peerEngines_.size() >= MostPeerEngines && !peerEngines_.contains(address)) {
+    if (peerEngines_.size() >= MaxPeerEngines && !peerEngines_.contains(address)) {
         peerEngines_.clear();
     }
     auto &engine = peerEngines_[address];
@@ -370,46 +370,46 @@
     }
     engine->sendOrder(
         order, guarded<OrderOutcome>([this, given](OrderOutcome outcome) {
-            const bool isThis = memory_.peerArm && memory_.peerArm->version == given.version && memory_.peerArm->step == given.step;
+            const bool isThis = switchRecord_.peerArm && switchRecord_.peerArm->version == given.version && switchRecord_.peerArm->step == given.step;
             log()->debug(
                 "Armed for its coordinator rank={} version={} step={} accepted={}", given.rank, given.version, given.step, outcome == OrderOutcome::Accepted);
             if (isThis && outcome == OrderOutcome::Accepted) {
-                memory_.peerArm->isAccepted = true;
-                publish();
+                switchRecord_.peerArm->isAccepted = true;
+                sendReport();
             }
         }));
 }
 
-void GroupTaskImpl::carryOut(const RankOrder &order)
+void GroupTaskImpl::executeOrder(const RankOrder &order)
 {
     if (order.kind == RankOrderKind::Prepare) {
-        known_.tell(order.version, order.map, state_ ? state_->mapVersion : 0);
-        memory_.told = order.version;
-        memory_.isFresh = order.isFresh;
-        preparing_ = order;
+        knownMaps_.add(order.version, order.map, state_ ? state_->mapVersion : 0);
+        switchRecord_.preparedVersion = order.version;
+        switchRecord_.isFresh = order.isFresh;
+        pendingPrepare_ = order;
         prepareTries_ = 0;
-        prepareTimer_.start(PrepareAnswer);
+        prepareTimer_.start(PrepareAnswerTimeout);
     }
-    give(order);
+    forwardOrder(order);
 }
 
-void GroupTaskImpl::prepareAgain()
+void GroupTaskImpl::retryPrepare()
 {
-    if (++prepareTries_ >= MostPrepareTries) {
+    if (++prepareTries_ >= MaxPrepareTries) {
         return; // The coordinator tries again.
     }
-    log()->info("No answer to an order kind=prepare version={} try={}", preparing_.version, prepareTries_);
-    prepareTimer_.start(PrepareAnswer);
-    give(preparing_);
+    log()->info("No answer to an order kind=prepare version={} try={}", pendingPrepare_.version, prepareTries_);
+    prepareTimer_.start(PrepareAnswerTimeout);
+    forwardOrder(pendingPrepare_);
 }
 
-void GroupTaskImpl::give(const RankOrder &order)
+void GroupTaskImpl::forwardOrder(const RankOrder &order)
 {
-    commandedAt_ = BootClock::now();
+    orderedAt_ = BootClock::now();
     engine_.sendOrder(
         order, guarded<OrderOutcome>([this, kind = order.kind, version = order.version, step = order.step](OrderOutcome outcome) {
             const bool isAnswered = outcome != OrderOutcome::Unknown;
-            if (isAnswered && kind == RankOrderKind::Prepare && version == preparing_.version) {
+            if (isAnswered && kind == RankOrderKind::Prepare && version == pendingPrepare_.version) {
                 prepareTimer_.stop();
             }
             if (outcome != OrderOutcome::Accepted) {
@@ -417,37 +417,37 @@
                     "Order kind={} version={} step={} outcome={}", toString(kind), version, step, outcome == OrderOutcome::Conflict ? "conflict" : "unknown");
             }
             engine_.readState(guarded<Result<RankState>>([this](Result<RankState> state) {
-                if (state && noteState(*state)) {
-                    publish();
+                if (state && acceptState(*state)) {
+                    sendReport();
                 }
             }));
         }));
 }
 
-void GroupTaskImpl::contendIfSilent()
+void GroupTaskImpl::claimTermIfSilent()
 {
     const BootTime now = BootClock::now();
-    if (coordinator_ != nullptr || isContending_ || !state_->isOpen || now - heardAt_ < patience()) {
+    if (coordinator_ != nullptr || isClaiming_ || !state_->isOpen || now - coordinatorHeardAt_ < claimDelay()) {
         return;
     }
-    isContending_ = true;
-    heardAt_ = now;
+    isClaiming_ = true;
+    coordinatorHeardAt_ = now;
     store_.readCoordinator(state_->group, guarded<Result<CoordinatorRow>>([this](Result<CoordinatorRow> row) {
-                               isContending_ = false;
+                               isClaiming_ = false;
                                if (row) {
-                                   takeRow(*row);
+                                   handleRow(*row);
                                } else {
                                    log()->warn("The coordinator's row can't be read cause={}", row.error().detail);
                                }
                            }));
 }
 
-void GroupTaskImpl::takeRow(const CoordinatorRow &row)
+void GroupTaskImpl::handleRow(const CoordinatorRow &row)
 {
     // The term that was followed until now is the silent one's.
-    const bool hasChanged = row.term != row_.term && row.term != term_;
+    const bool hasChanged = row.term != lastRow_.term && row.term != term_;
     log()->info("No coordinator is heard of group={} row_term={} holder={} changed={}", state_->group, row.term, row.holder, hasChanged);
-    row_ = row;
+    lastRow_ = row;
     if (hasChanged && row.term > 0 && row.holder != options_.instance) {
         return; // Somebody has just taken it, and will be heard of soon.
     }
@@ -465,22 +465,22 @@
 void GroupTaskImpl::becomeCoordinator(std::uint64_t term)
 {
     term_ = term;
-    expertsTold_ = {};
-    log()->info("Coordinates group={} term={} before={}", state_->group, term, row_.holder);
-    const auto predecessor = followed_.term == row_.term ? followed_ : Coordinator::Predecessor{};
+    reportedExperts_ = {};
+    log()->info("Coordinates group={} term={} before={}", state_->group, term, lastRow_.holder);
+    const auto predecessor = followedCoordinator_.term == lastRow_.term ? followedCoordinator_ : Coordinator::Predecessor{};
     coordinator_ = std::make_unique<Coordinator>(loop_,
                                                  options_,
                                                  Coordinator::Term{.group = state_->group, .number = term, .predecessor = predecessor},
                                                  dialEngine_,
                                                  store_,
                                                  metrics_,
-                                                 Coordinator::Callbacks{.orderOwn = [this](const RankOrder &order) { carryOut(order); },
-                                                                        .overtaken =
+                                                 Coordinator::Callbacks{.sendToOwnEngine = [this](const RankOrder &order) { executeOrder(order); },
+                                                                        .onSuperseded =
                                                                             [this] {
-                                                                                heardAt_ = BootClock::now();
+                                                                                coordinatorHeardAt_ = BootClock::now();
                                                                                 resignTimer_.start(Duration(0)); // Not under its own call.
                                                                             }});
-    publish();
+    sendReport();
 }
 
 } // namespace
--- a/libs/group/src/knownmaps.h
+++ b/libs/group/src/knownmaps.h
@@ -25,7 +25,7 @@
 {
 public:
     /** @param inUse version of the map in use, which is kept. */
-    void tell(std::uint64_t version, SharedMap map, std::uint64_t inUse)
+    void add(std::uint64_t version, SharedMap map, std::uint64_t inUse)
     {
         std::erase_if(maps_, [version, inUse](const Known &known) { return known.version == version || known.version != inUse; });
         maps_.push_back({.version = version, .map = std::move(map)});
--- a/libs/group/src/heldmaps.h
+++ b/libs/group/src/mapassembler.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_GROUP_HELDMAPS_H
-#define MAGNOLIA_GROUP_HELDMAPS_H
+#ifndef MAGNOLIA_GROUP_MAPASSEMBLER_H
+#define MAGNOLIA_GROUP_MAPASSEMBLER_H
 
 #include "group/rankstate.h"
 #include "mapcodec.h"
@@ -22,45 +22,45 @@
  * if (const auto &map = held.joined(size)) { plan(*map); }
  * @endcode
  */
-class HeldMaps
+class MapAssembler
 {
 public:
     /** Forgets all: the group has formed anew. */
     void clear();
 
     /** @return whether the rank was noted under this version; versions are never used twice within an epoch. */
-    bool knows(std::uint32_t rank, std::uint64_t version) const;
+    bool hasRank(std::uint32_t rank, std::uint64_t version) const;
 
-    void note(std::uint32_t rank, std::uint64_t version, SetExperts experts);
+    void setRank(std::uint32_t rank, std::uint64_t version, ExpertsBySet experts);
 
     /** @return whether something was noted since this was asked last. */
-    bool takeNews();
+    bool takeChanged();
 
     /** @return nothing while ranks are missing or hold different versions. */
-    std::optional<ExpertMap> joined(std::size_t ranks) const;
+    std::optional<ExpertMap> assemble(std::size_t ranks) const;
 
     /**
      * The map in use as far as all ranks but one tell it: the absent one holds at least what no other does. Prepared in place of a
      * map that is given up, it costs no rank a copy, and it is never armed.
      */
-    std::optional<ExpertMap> joinedWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const;
+    std::optional<ExpertMap> assembleWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const;
 
     /** @return that of the joined map; only if there is one. */
     std::uint64_t version() const
     {
-        return held_.begin()->second.version;
+        return rankParts_.begin()->second.version;
     }
 
 private:
-    struct Held {
+    struct RankPart {
         std::uint64_t version = 0;
-        SetExperts experts;
+        ExpertsBySet experts;
     };
 
-    bool isSameEverywhere() const;
+    bool isSameVersionEverywhere() const;
 
-    std::map<std::uint32_t, Held> held_; ///< By rank.
-    bool isNews_ = true;
+    std::map<std::uint32_t, RankPart> rankParts_; ///< By rank.
+    bool isChanged_ = true;
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/mapcodec.cpp
+++ b/libs/group/src/mapcodec.cpp
@@ -17,11 +17,11 @@
 using Experts = std::vector<std::uint16_t>;
 
 // Of a count, as a mean: a coordinator adds up many ranks' counts, so that what rounding takes from one evens out.
-constexpr std::uint64_t MeanUnits = 4;
+constexpr std::uint64_t UnitsPerMeanCount = 4;
 
-constexpr std::uint64_t ExpertsBound = std::uint64_t(std::numeric_limits<std::uint16_t>::max()) + 1;
+constexpr std::uint64_t ExpertLimit = std::uint64_t(std::numeric_limits<std::uint16_t>::max()) + 1;
 
-void putExperts(PackedWriter &writer, const Experts &experts)
+void writeExperts(PackedWriter &writer, const Experts &experts)
 {
     writer.put(experts.size());
     for (const std::uint16_t expert : experts) {
@@ -29,11 +29,11 @@
     }
 }
 
-Experts takeExperts(PackedReader &reader)
+Experts readExperts(PackedReader &reader)
 {
-    Experts experts(reader.takeSize());
+    Experts experts(reader.readSize());
     for (std::uint16_t &expert : experts) {
-        expert = static_cast<std::uint16_t>(reader.takeBelow(ExpertsBound));
+        expert = static_cast<std::uint16_t>(reader.readBelow(ExpertLimit));
     }
     return experts;
 }
@@ -45,7 +45,7 @@
 }
 
 /** The elements of one that the other does not have. Lists are a few places long. */
-Experts without(const Experts &experts, const Experts &others)
+Experts difference(const Experts &experts, const Experts &others)
 {
     Experts rest;
     std::copy_if(experts.begin(), experts.end(), std::back_inserter(rest), [&others](std::uint16_t expert) {
@@ -62,41 +62,41 @@
 
 /** Reads one value, which must be all that was packed. */
 template<typename Read>
-auto readWhole(std::string_view packed, Read read) -> Result<decltype(read(std::declval<PackedReader &>()))>
+auto readComplete(std::string_view packed, Read read) -> Result<decltype(read(std::declval<PackedReader &>()))>
 {
     auto reader = PackedReader::open(packed);
     if (!reader) {
         return tl::unexpected(reader.error());
     }
     auto value = read(*reader);
-    if (!reader->isWhole()) {
+    if (!reader->isComplete()) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers end too soon, have more than expected, or are out of range");
     }
     return value;
 }
 
 /** Lists of experts with their number before them: of one set by rank, or of one rank by set. */
-std::vector<Experts> takeLists(PackedReader &reader)
+std::vector<Experts> readLists(PackedReader &reader)
 {
-    std::vector<Experts> lists(reader.takeSize());
+    std::vector<Experts> lists(reader.readSize());
     for (Experts &experts : lists) {
-        experts = takeExperts(reader);
+        experts = readExperts(reader);
     }
     return lists;
 }
 
 /** One changed place of a map: what is taken from it and what is put there. */
-void putEdit(PackedWriter &writer, std::size_t distance, const Experts &before, const Experts &after)
+void writeEdit(PackedWriter &writer, std::size_t distance, const Experts &before, const Experts &after)
 {
     writer.put(distance);
-    putExperts(writer, without(before, after));
-    putExperts(writer, without(after, before));
+    writeExperts(writer, difference(before, after));
+    writeExperts(writer, difference(after, before));
 }
 
-Experts edited(const Experts &before, const Experts &taken, const Experts &put)
+Experts applyEdit(const Experts &before, const Experts &removed, const Experts &added)
 {
-    Experts after = without(before, taken);
-    after.insert(after.end(), put.begin(), put.end());
+    Experts after = difference(before, removed);
+    after.insert(after.end(), added.begin(), added.end());
     return sorted(std::move(after));
 }
 
@@ -109,7 +109,7 @@
     for (const auto &set : map) {
         writer.put(set.size());
         for (const Experts &experts : set) {
-            putExperts(writer, sorted(experts)); // As a change leaves them: ranks that are told in either form hold the same.
+            writeExperts(writer, sorted(experts)); // As a change leaves them: ranks that are told in either form hold the same.
         }
     }
     return writer.packed();
@@ -117,16 +117,16 @@
 
 Result<ExpertMap> decodeMap(std::string_view packed)
 {
-    return readWhole(packed, [](PackedReader &reader) {
-        ExpertMap map(reader.takeSize());
+    return readComplete(packed, [](PackedReader &reader) {
+        ExpertMap map(reader.readSize());
         for (auto &set : map) {
-            set = takeLists(reader);
+            set = readLists(reader);
         }
         return map;
     });
 }
 
-std::string encodeMapChange(const ExpertMap &base, const ExpertMap &map)
+std::string encodeMapDelta(const ExpertMap &base, const ExpertMap &map)
 {
     if (!isSameShape(base, map)) {
         return {};
@@ -136,7 +136,7 @@
     for (std::size_t set = 0; set < map.size(); ++set) {
         for (std::size_t rank = 0; rank < map[set].size(); ++rank, ++distance) {
             if (sorted(map[set][rank]) != sorted(base[set][rank])) {
-                putEdit(writer, std::exchange(distance, 0), base[set][rank], map[set][rank]);
+                writeEdit(writer, std::exchange(distance, 0), base[set][rank], map[set][rank]);
             }
         }
     }
@@ -144,21 +144,21 @@
     return writer.packed();
 }
 
-Result<ExpertMap> applyMapChange(ExpertMap base, std::string_view packed)
+Result<ExpertMap> applyMapDelta(ExpertMap base, std::string_view packed)
 {
     std::uint64_t distance = 0;
-    auto changed = readWhole(packed, [&base, &distance](PackedReader &reader) {
-        distance = reader.take();
+    auto changed = readComplete(packed, [&base, &distance](PackedReader &reader) {
+        distance = reader.read();
         for (auto &set : base) {
             for (Experts &experts : set) {
                 if (--distance > 0) {
                     experts = sorted(std::move(experts));
                     continue;
                 }
-                const Experts taken = takeExperts(reader);
-                const Experts put = takeExperts(reader);
-                experts = edited(experts, taken, put);
-                distance = reader.take();
+                const Experts removed = readExperts(reader);
+                const Experts added = readExperts(reader);
+                experts = applyEdit(experts, removed, added);
+                distance = reader.read();
             }
         }
         return std::move(base);
@@ -169,25 +169,25 @@
     return changed;
 }
 
-std::string encodeSetExperts(const SetExperts &experts)
+std::string encodeExpertsBySet(const ExpertsBySet &experts)
 {
     PackedWriter writer;
     writer.put(experts.size());
     for (const Experts &ofSet : experts) {
-        putExperts(writer, ofSet);
+        writeExperts(writer, ofSet);
     }
     return writer.packed();
 }
 
-Result<SetExperts> decodeSetExperts(std::string_view packed)
+Result<ExpertsBySet> decodeExpertsBySet(std::string_view packed)
 {
-    return readWhole(packed, [](PackedReader &reader) { return takeLists(reader); });
+    return readComplete(packed, [](PackedReader &reader) { return readLists(reader); });
 }
 
 std::string encodeCounts(const std::vector<std::uint64_t> &counts)
 {
     const std::uint64_t total = std::accumulate(counts.begin(), counts.end(), std::uint64_t(0));
-    const std::uint64_t unit = std::max<std::uint64_t>(total / std::max<std::uint64_t>(counts.size() * MeanUnits, 1), 1);
+    const std::uint64_t unit = std::max<std::uint64_t>(total / std::max<std::uint64_t>(counts.size() * UnitsPerMeanCount, 1), 1);
     PackedWriter writer;
     writer.put(unit);
     writer.put(counts.size());
@@ -199,11 +199,11 @@
 
 Result<std::vector<std::uint64_t>> decodeCounts(std::string_view packed)
 {
-    return readWhole(packed, [](PackedReader &reader) {
-        const std::uint64_t unit = reader.take();
-        std::vector<std::uint64_t> counts(reader.takeSize());
+    return readComplete(packed, [](PackedReader &reader) {
+        const std::uint64_t unit = reader.read();
+        std::vector<std::uint64_t> counts(reader.readSize());
         for (std::uint64_t &count : counts) {
-            count = reader.take() * unit;
+            count = reader.read() * unit;
         }
         return counts;
     });
--- a/libs/group/src/mapcourier.h
+++ b/libs/group/src/mapencoder.h
@@ -1,5 +1,5 @@
-#ifndef MAGNOLIA_GROUP_MAPCOURIER_H
-#define MAGNOLIA_GROUP_MAPCOURIER_H
+#ifndef MAGNOLIA_GROUP_MAPENCODER_H
+#define MAGNOLIA_GROUP_MAPENCODER_H
 
 #include "group/rankstate.h"
 
@@ -22,10 +22,10 @@
  * const MapCourier::Form form = courier.formFor(order, report.knownMap);
  * @endcode
  */
-class MapCourier
+class MapEncoder
 {
 public:
-    struct Form {
+    struct Encoding {
         std::uint64_t base = 0; ///< Of the map that `map` differs from; 0: `map` is whole.
         std::string_view map; ///< As of mapcodec.h; valid until the next order with another version.
     };
@@ -34,14 +34,14 @@
     void setBase(std::uint64_t version, ExpertMap map);
 
     /** @param knownMap version of the map that the agent says it knows; 0: none. */
-    Form formFor(const RankOrder &order, std::uint64_t knownMap);
+    Encoding encode(const RankOrder &order, std::uint64_t knownMap);
 
 private:
-    std::uint64_t base_ = 0;
+    std::uint64_t baseVersion_ = 0;
     ExpertMap baseMap_;
-    std::uint64_t version_ = 0; ///< Of the order that the forms are of.
+    std::uint64_t encodedVersion_ = 0; ///< Of the order that the forms are of.
     std::string whole_; ///< Empty until an agent needs it.
-    std::string change_; ///< The same.
+    std::string delta_; ///< The same.
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/mapswitch.cpp
+++ b/libs/group/src/mapswitch.cpp
@@ -13,7 +13,7 @@
 // Versions of one term; a term lasts until another coordinator takes over, and changes of map are seconds apart.
 constexpr std::uint64_t VersionsPerTerm = 1U << 16U;
 
-constexpr std::uint32_t MostDoublings = 3; // Of the time after which a map is told again.
+constexpr std::uint32_t MaxDoublings = 3; // Of the time after which a map is told again.
 
 } // namespace
 
@@ -61,34 +61,34 @@
 
 MapSwitch::MapSwitch(Options options) : options_(options) {}
 
-void MapSwitch::reported(const RankState &state, BootTime now)
+void MapSwitch::onRankReport(const RankState &state, BootTime now)
 {
-    const bool isNews = state.epoch > epoch_ || ranks_.size() != state.size;
+    const bool isNewGroup = state.epoch > epoch_ || ranks_.size() != state.size;
     if (state.epoch < epoch_ || state.rank >= state.size) {
         return; // Of an earlier epoch: late.
     }
-    if (isNews) {
+    if (isNewGroup) {
         reset(state);
     }
     ranks_[state.rank].state = state;
-    ranks_[state.rank].isVouched = false;
+    ranks_[state.rank].isProven = false;
     advance(now);
 }
 
-void MapSwitch::told(std::uint32_t rank, std::uint64_t version)
+void MapSwitch::onPrepareAcknowledged(std::uint32_t rank, std::uint64_t version)
 {
     if (rank < ranks_.size()) {
-        ranks_[rank].told = version;
+        ranks_[rank].acknowledgedVersion = version;
     }
 }
 
-void MapSwitch::vouch(std::uint32_t rank, std::optional<ArmedMap> armed, BootTime now)
+void MapSwitch::setProvenState(std::uint32_t rank, std::optional<ArmedMap> armed, BootTime now)
 {
     if (phase_ != Phase::Unknown || rank >= ranks_.size() || ranks_[rank].state) {
         return;
     }
     ranks_[rank].state = RankState{.epoch = epoch_, .rank = rank, .size = size(), .armed = armed};
-    ranks_[rank].isVouched = true;
+    ranks_[rank].isProven = true;
     advance(now);
 }
 
@@ -97,9 +97,9 @@
     return version / VersionsPerTerm;
 }
 
-std::optional<std::uint32_t> MapSwitch::vouchedRank() const
+std::optional<std::uint32_t> MapSwitch::provenRank() const
 {
-    const auto vouched = std::find_if(ranks_.begin(), ranks_.end(), [](const Member &member) { return member.isVouched; });
+    const auto vouched = std::find_if(ranks_.begin(), ranks_.end(), [](const Member &member) { return member.isProven; });
     return vouched == ranks_.end() ? std::nullopt : std::optional(vouched->state->rank);
 }
 
@@ -115,7 +115,7 @@
     phase_ = phase;
     phaseSince_ = now;
     for (Member &member : ranks_) {
-        member.ordered.reset();
+        member.lastOrderKind.reset();
     }
 }
 
@@ -139,16 +139,16 @@
 }
 
 template<typename Condition>
-bool MapSwitch::all(Condition condition) const
+bool MapSwitch::allRanks(Condition condition) const
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [&condition](const Member &member) { return condition(*member.state); });
 }
 
 /** The same for the ranks that have reported. */
 template<typename Condition>
-bool MapSwitch::allReached(Condition condition) const
+bool MapSwitch::allReporting(Condition condition) const
 {
-    return std::all_of(ranks_.begin(), ranks_.end(), [&condition](const Member &member) { return member.isVouched || condition(*member.state); });
+    return std::all_of(ranks_.begin(), ranks_.end(), [&condition](const Member &member) { return member.isProven || condition(*member.state); });
 }
 
 std::optional<std::uint32_t> MapSwitch::holder() const
@@ -162,7 +162,7 @@
 }
 
 /** A pass that was never held before: a late order to release it then can't be on its way. */
-std::uint64_t MapSwitch::nextStep(std::uint64_t ahead)
+std::uint64_t MapSwitch::chooseStep(std::uint64_t ahead)
 {
     lastUsedStep_ = std::max(lastStep() + ahead, lastUsedStep_ + 1);
     return lastUsedStep_;
@@ -170,19 +170,19 @@
 
 std::uint64_t MapSwitch::nextVersion()
 {
-    return options_.term * VersionsPerTerm + ++count_;
+    return options_.term * VersionsPerTerm + ++versionCount_;
 }
 
 void MapSwitch::begin(ExpertMap map, ExpertMap current, BootTime now)
 {
     map_ = std::move(map);
-    current_ = std::move(current);
+    fallbackMap_ = std::move(current);
     version_ = nextVersion();
     enter(Phase::Preparing, now);
 }
 
 /** Goes on from whatever the ranks report, after a takeover or a new epoch. */
-void MapSwitch::takeUp(BootTime now)
+void MapSwitch::resumeFromReports(BootTime now)
 {
     // A predecessor's order to release such a pass may still be on its way, and would let it begin under a hold of ours.
     lastUsedStep_ = std::max(lastUsedStep_, lastStep() + 2 * options_.stepsAhead);
@@ -199,7 +199,7 @@
         return;
     }
     const ArmedMap first = *armed->state->armed;
-    const bool isArmedEverywhere = all([&first](const RankState &state) { return state.armed == first; });
+    const bool isArmedEverywhere = allRanks([&first](const RankState &state) { return state.armed == first; });
     const bool isProtected = held && *ranks_[*held].state->heldStep <= first.step;
     if (isArmedEverywhere || !isProtected) {
         // Without a hold before that pass it has been released, which is done only once all are armed: a rank that does not
@@ -219,34 +219,34 @@
     }
     switch (phase_) {
     case Phase::Unknown:
-        takeUp(now);
+        resumeFromReports(now);
         break;
     case Phase::Idle:
-        if (holder() || !all([](const RankState &state) { return !state.armed; })) {
-            takeUp(now); // An order of an earlier coordinator was carried out late.
+        if (holder() || !allRanks([](const RankState &state) { return !state.armed; })) {
+            resumeFromReports(now); // An order of an earlier coordinator was carried out late.
         }
         break;
     case Phase::Preparing:
-        if (all([this](const RankState &state) { return state.preparedVersion == version_; })) {
-            step_ = nextStep(options_.stepsAhead);
-            holder_ = usualHolder();
+        if (allRanks([this](const RankState &state) { return state.preparedVersion == version_; })) {
+            switchStep_ = chooseStep(options_.stepsAhead);
+            holder_ = defaultHolder();
             enter(Phase::Holding, now);
         }
         break;
     case Phase::Holding:
-        if (all([this](const RankState &state) { return state.rank == holder_ ? state.heldStep == step_ : !state.heldStep; })) {
+        if (allRanks([this](const RankState &state) { return state.rank == holder_ ? state.heldStep == switchStep_ : !state.heldStep; })) {
             enter(Phase::Arming, now);
         }
         break;
     case Phase::Arming:
-        if (all([this](const RankState &state) { return state.armed == ArmedMap{.version = version_, .step = step_}; })) {
+        if (allRanks([this](const RankState &state) { return state.armed == ArmedMap{.version = version_, .step = switchStep_}; })) {
             enter(Phase::Releasing, now);
         }
         break;
     case Phase::Releasing:
-        if (allReached([this](const RankState &state) { return state.mapVersion == version_ && !state.armed; })) {
+        if (allReporting([this](const RankState &state) { return state.mapVersion == version_ && !state.armed; })) {
             for (Member &member : ranks_) {
-                if (member.isVouched) {
+                if (member.isProven) {
                     member.state->armed.reset(); // It has begun the same pass.
                 }
             }
@@ -254,8 +254,8 @@
         }
         break;
     case Phase::Undoing:
-        if (all([](const RankState &state) { return !state.armed; })
-            && allReached([this](const RankState &state) { return state.preparedVersion == undoVersion_; })) {
+        if (allRanks([](const RankState &state) { return !state.armed; })
+            && allReporting([this](const RankState &state) { return state.preparedVersion == undoVersion_; })) {
             enter(Phase::UndoReleasing, now);
         }
         break;
@@ -267,73 +267,73 @@
     }
 }
 
-Duration MapSwitch::retryOf(const Member &member, const RankOrder &order) const
+Duration MapSwitch::retryDelay(const Member &member, const RankOrder &order) const
 {
     if (order.kind != RankOrderKind::Prepare) {
         return options_.orderRetry;
     }
-    if (member.told == order.version) {
-        return options_.toldRetry;
+    if (member.acknowledgedVersion == order.version) {
+        return options_.acknowledgedRetry;
     }
-    return options_.prepareRetry * (1U << std::min(member.tries, MostDoublings));
+    return options_.prepareRetry * (1U << std::min(member.tries, MaxDoublings));
 }
 
-void MapSwitch::give(std::vector<AddressedOrder> &orders, std::uint32_t rank, RankOrder order, BootTime now)
+void MapSwitch::addOrder(std::vector<AddressedOrder> &orders, std::uint32_t rank, RankOrder order, BootTime now)
 {
     Member &member = ranks_[rank];
-    const bool isRepeat = member.ordered == order.kind && member.orderedVersion == order.version;
-    if (isRepeat && now < member.orderedAt + retryOf(member, order)) {
+    const bool isRepeat = member.lastOrderKind == order.kind && member.lastOrderVersion == order.version;
+    if (isRepeat && now < member.lastOrderAt + retryDelay(member, order)) {
         return;
     }
     member.tries = isRepeat ? member.tries + 1 : 0;
-    member.ordered = order.kind;
-    member.orderedVersion = order.version;
-    member.orderedAt = now;
+    member.lastOrderKind = order.kind;
+    member.lastOrderVersion = order.version;
+    member.lastOrderAt = now;
     order.epoch = epoch_;
-    const std::uint32_t via = viaFor(rank, order.kind, member.tries);
-    orders.push_back({.rank = rank, .order = std::move(order), .via = via});
+    const std::uint32_t senderRank = senderFor(rank, order.kind, member.tries);
+    orders.push_back({.rank = rank, .order = std::move(order), .senderRank = senderRank});
 }
 
 /** Not the coordinator's: if that instance is lost, somebody who can be reached has to release the pass. */
-std::uint32_t MapSwitch::usualHolder() const
+std::uint32_t MapSwitch::defaultHolder() const
 {
     return ownRank_ ? (*ownRank_ + 1) % size() : 0;
 }
 
 /** Whose instance gives an order. Each further try takes another way: an engine may be cut off from some instances. */
-std::uint32_t MapSwitch::viaFor(std::uint32_t rank, RankOrderKind kind, std::uint32_t tries) const
+std::uint32_t MapSwitch::senderFor(std::uint32_t rank, RankOrderKind kind, std::uint32_t tries) const
 {
     if (!ownRank_ || size() == 1) {
         return rank;
     }
     if (kind == RankOrderKind::Hold) {
-        const bool isFromAfar = tries % 2 == 0;
-        return isFromAfar ? *ownRank_ : rank;
+        const bool isDirect = tries % 2 == 0;
+        return isDirect ? *ownRank_ : rank;
     }
     if (kind == RankOrderKind::Arm && rank == *ownRank_) {
         // Of all others but the holder's, whose loss leaves the group held anyway.
-        const std::uint32_t deputies = std::max(size() - 2, 1U);
+        const std::uint32_t peers = std::max(size() - 2, 1U);
         const std::uint32_t first = size() > 2 ? 2 : 1;
-        return (*ownRank_ + first + tries % deputies) % size();
+        return (*ownRank_ + first + tries % peers) % size();
     }
     return rank;
 }
 
 bool MapSwitch::areOthersArmed(std::uint32_t rank) const
 {
-    const ArmedMap wanted{.version = version_, .step = step_};
+    const ArmedMap wanted{.version = version_, .step = switchStep_};
     return std::all_of(ranks_.begin(), ranks_.end(), [&](const Member &member) { return member.state->rank == rank || member.state->armed == wanted; });
 }
 
-std::vector<AddressedOrder> MapSwitch::due(BootTime now)
+std::vector<AddressedOrder> MapSwitch::takeDueOrders(BootTime now)
 {
     std::vector<AddressedOrder> orders;
     if (phase_ == Phase::Preparing && now > phaseSince_ + options_.prepareLimit) {
         enter(Phase::Idle, now); // Nothing is armed or held; what is prepared is replaced by the next.
     }
-    if (phase_ == Phase::Holding && lastStep() >= step_) {
+    if (phase_ == Phase::Holding && lastStep() >= switchStep_) {
         // The pass began before the hold reached its rank, which then refuses it: a later one is held.
-        step_ = nextStep(2 * options_.stepsAhead);
+        switchStep_ = chooseStep(2 * options_.stepsAhead);
         enter(Phase::Holding, now);
     }
     if (phase_ == Phase::Arming && now > phaseSince_ + options_.armLimit) {
@@ -341,40 +341,40 @@
         enter(Phase::Undoing, now);
     }
     for (std::uint32_t rank = 0; rank < ranks_.size(); ++rank) {
-        if (!ranks_[rank].state || ranks_[rank].isVouched) {
+        if (!ranks_[rank].state || ranks_[rank].isProven) {
             continue;
         }
         const RankState &state = *ranks_[rank].state;
         switch (phase_) {
         case Phase::Preparing:
             if (state.preparedVersion != version_) {
-                give(orders, rank, {.kind = RankOrderKind::Prepare, .version = version_, .map = map_, .isFresh = true}, now);
+                addOrder(orders, rank, {.kind = RankOrderKind::Prepare, .version = version_, .map = map_, .isFresh = true}, now);
             }
             break;
         case Phase::Holding:
-            if (state.heldStep && (rank != holder_ || state.heldStep != step_)) {
+            if (state.heldStep && (rank != holder_ || state.heldStep != switchStep_)) {
                 // A late one of an earlier try. No rank is armed, nor can become so for it: all have a newer map prepared.
-                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
+                addOrder(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
             } else if (rank == holder_ && !state.heldStep) {
-                give(orders, rank, {.kind = RankOrderKind::Hold, .version = step_, .step = step_}, now);
+                addOrder(orders, rank, {.kind = RankOrderKind::Hold, .version = switchStep_, .step = switchStep_}, now);
             }
             break;
         case Phase::Arming:
-            if (state.armed != ArmedMap{.version = version_, .step = step_} && (rank != ownRank_ || areOthersArmed(rank))) {
-                give(orders, rank, {.kind = RankOrderKind::Arm, .version = version_, .step = step_}, now);
+            if (state.armed != ArmedMap{.version = version_, .step = switchStep_} && (rank != ownRank_ || areOthersArmed(rank))) {
+                addOrder(orders, rank, {.kind = RankOrderKind::Arm, .version = version_, .step = switchStep_}, now);
             }
             break;
         case Phase::Releasing:
         case Phase::UndoReleasing:
             if (state.heldStep) {
-                give(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
+                addOrder(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
             }
             break;
         case Phase::Undoing:
             if (state.armed) {
-                give(orders, rank, {.kind = RankOrderKind::Disarm, .version = state.armed->version}, now);
-            } else if (state.preparedVersion != undoVersion_ && !current_.empty()) {
-                give(orders, rank, {.kind = RankOrderKind::Prepare, .version = undoVersion_, .map = current_}, now);
+                addOrder(orders, rank, {.kind = RankOrderKind::Disarm, .version = state.armed->version}, now);
+            } else if (state.preparedVersion != undoVersion_ && !fallbackMap_.empty()) {
+                addOrder(orders, rank, {.kind = RankOrderKind::Prepare, .version = undoVersion_, .map = fallbackMap_}, now);
             }
             break;
         case Phase::Unknown:
--- a/libs/group/src/packednumbers.cpp
+++ b/libs/group/src/packednumbers.cpp
@@ -11,14 +11,14 @@
 {
 
 constexpr unsigned PayloadBits = 7; // Of each byte.
-constexpr unsigned MostBits = 64;
-constexpr std::uint8_t MoreFollows = 0x80;
+constexpr unsigned MaxBits = 64;
+constexpr std::uint8_t ContinuationBit = 0x80;
 
 // Best speed: an agent has a small part of a core, and the next levels save few bytes of such short lists.
-constexpr int Level = Z_BEST_SPEED;
+constexpr int CompressionLevel = Z_BEST_SPEED;
 
 // A map of 128 ranks and 64 sets has some 50,000 numbers.
-constexpr std::size_t MostBytes = 4U << 20U;
+constexpr std::size_t MaxUnpackedBytes = 4U << 20U;
 
 const Bytef *asBytes(std::string_view text)
 {
@@ -29,8 +29,8 @@
 
 void PackedWriter::put(std::uint64_t number)
 {
-    while (number >= MoreFollows) {
-        bytes_.push_back(static_cast<char>((number & (MoreFollows - 1U)) | MoreFollows));
+    while (number >= ContinuationBit) {
+        bytes_.push_back(static_cast<char>((number & (ContinuationBit - 1U)) | ContinuationBit));
         number >>= PayloadBits;
     }
     bytes_.push_back(static_cast<char>(number));
@@ -45,7 +45,7 @@
     const std::size_t start = packed.size();
     uLongf size = compressBound(bytes_.size());
     packed.resize(start + size);
-    if (compress2(reinterpret_cast<Bytef *>(packed.data() + start), &size, asBytes(bytes_), bytes_.size(), Level) != Z_OK) {
+    if (compress2(reinterpret_cast<Bytef *>(packed.data() + start), &size, asBytes(bytes_), bytes_.size(), CompressionLevel) != Z_OK) {
         throw std::bad_alloc(); // There is room for whatever comes out, so nothing else can be wrong.
     }
     packed.resize(start + size);
@@ -56,14 +56,14 @@
 {
     PackedReader header;
     header.bytes_ = packed.substr(0, sizeof(std::uint64_t));
-    const std::uint64_t size = header.take();
-    if (header.isBad_ || size > MostBytes) {
+    const std::uint64_t size = header.read();
+    if (header.isBad_ || size > MaxUnpackedBytes) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers have no size, or too large a one");
     }
     PackedReader reader;
     reader.bytes_.resize(size);
     uLongf unpacked = size;
-    const std::string_view rest = packed.substr(header.at_);
+    const std::string_view rest = packed.substr(header.position_);
     const int outcome = uncompress(reinterpret_cast<Bytef *>(reader.bytes_.data()), &unpacked, asBytes(rest), rest.size());
     if (outcome != Z_OK || unpacked != size) {
         return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers can't be unpacked");
@@ -71,13 +71,13 @@
     return reader;
 }
 
-std::uint64_t PackedReader::take()
+std::uint64_t PackedReader::read()
 {
     std::uint64_t number = 0;
-    for (unsigned shift = 0; !isBad_ && shift < MostBits && at_ < bytes_.size(); shift += PayloadBits) {
-        const auto byte = static_cast<std::uint8_t>(bytes_[at_++]);
-        number |= static_cast<std::uint64_t>(byte & (MoreFollows - 1U)) << shift;
-        if (byte < MoreFollows) {
+    for (unsigned shift = 0; !isBad_ && shift < MaxBits && position_ < bytes_.size(); shift += PayloadBits) {
+        const auto byte = static_cast<std::uint8_t>(bytes_[position_++]);
+        number |= static_cast<std::uint64_t>(byte & (ContinuationBit - 1U)) << shift;
+        if (byte < ContinuationBit) {
             return number;
         }
     }
@@ -85,9 +85,9 @@
     return 0;
 }
 
-std::uint64_t PackedReader::takeBelow(std::uint64_t bound)
+std::uint64_t PackedReader::readBelow(std::uint64_t bound)
 {
-    const std::uint64_t number = take();
+    const std::uint64_t number = read();
     if (number < bound) {
         return number;
     }
@@ -95,9 +95,9 @@
     return 0;
 }
 
-std::size_t PackedReader::takeSize()
+std::size_t PackedReader::readSize()
 {
-    return takeBelow(bytes_.size() - at_ + 1);
+    return readBelow(bytes_.size() - position_ + 1);
 }
 
 } // namespace magnolia::group
--- a/libs/group/src/packednumbers.h
+++ b/libs/group/src/packednumbers.h
@@ -42,23 +42,23 @@
     static Result<PackedReader> open(std::string_view packed);
 
     /** @return the next number; 0 once something could not be read, see isWhole(). */
-    std::uint64_t take();
+    std::uint64_t read();
 
     /** The same for a number of things that follow: bad if fewer bytes are left than things. */
-    std::size_t takeSize();
+    std::size_t readSize();
 
     /** Takes the next number, which must be below a bound. */
-    std::uint64_t takeBelow(std::uint64_t bound);
+    std::uint64_t readBelow(std::uint64_t bound);
 
     /** Whether everything taken so far was there, and nothing is left. */
-    bool isWhole() const
+    bool isComplete() const
     {
-        return !isBad_ && at_ == bytes_.size();
+        return !isBad_ && position_ == bytes_.size();
     }
 
 private:
     std::string bytes_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     bool isBad_ = false;
 };
 
--- a/libs/group/src/replicaplanner.cpp
+++ b/libs/group/src/replicaplanner.cpp
@@ -10,13 +10,13 @@
 {
 
 // Experts of the most loaded rank that a further replica is considered for: the others bring less.
-constexpr std::size_t HottestTried = 3;
+constexpr std::size_t CandidateExperts = 3;
 
 // Ranks differ by some hundredths in what they report; moving experts for that would cost more copies than it saves time.
-constexpr double LeastSlow = 1.15;
+constexpr double MinSlowPace = 1.15;
 
 // A fall of the penalty below this is rounding, and following it would never end.
-constexpr double SmallestFall = 1e-9;
+constexpr double MinRelativeGain = 1e-9;
 
 /** One step of a plan: an expert is held by one rank more, by another rank, or by one rank less. */
 struct Change {
@@ -38,7 +38,7 @@
         , holders_(shares.size())
         , newCopies_(held_.size(), 0)
         , work_(held_.size(), 0.0)
-        , changed_(held_.size(), 0.0)
+        , newWork_(held_.size(), 0.0)
     {
         for (std::uint32_t rank = 0; rank < held_.size(); ++rank) {
             for (const std::uint16_t expert : held_[rank]) {
@@ -53,7 +53,7 @@
     }
 
     /** Time of the rank that takes longest; 1 if all ranks have the same work and none is slow. */
-    double highest() const
+    double maxWork() const
     {
         return *std::max_element(work_.begin(), work_.end());
     }
@@ -62,7 +62,7 @@
     {
         std::optional<Change> best;
         const auto hottestRank = static_cast<std::uint32_t>(std::max_element(work_.begin(), work_.end()) - work_.begin());
-        for (const std::uint16_t expert : hottestOf(hottestRank)) {
+        for (const std::uint16_t expert : hottestExperts(hottestRank)) {
             if (holders_[expert].size() > 1) {
                 consider(best, {.expert = expert, .to = {}, .dropped = {}, .from = hottestRank});
             }
@@ -78,12 +78,12 @@
 
     void apply(const Change &change)
     {
-        gather(change);
-        for (const std::uint32_t rank : touched_) {
-            work_[rank] = changed_[rank];
+        computeNewWork(change);
+        for (const std::uint32_t rank : affectedRanks_) {
+            work_[rank] = newWork_[rank];
         }
         if (change.dropped) {
-            release(*change.to, *change.dropped);
+            dropExpert(*change.to, *change.dropped);
         }
         if (change.to) {
             held_[*change.to].push_back(change.expert);
@@ -91,11 +91,11 @@
             ++newCopies_[*change.to];
         }
         if (change.from) {
-            release(*change.from, change.expert);
+            dropExpert(*change.from, change.expert);
         }
     }
 
-    std::vector<std::vector<std::uint16_t>> take()
+    std::vector<std::vector<std::uint16_t>> takeMap()
     {
         for (auto &experts : held_) {
             std::sort(experts.begin(), experts.end());
@@ -109,7 +109,7 @@
         return std::find(held_[rank].begin(), held_[rank].end(), expert) != held_[rank].end();
     }
 
-    void release(std::uint32_t rank, std::uint16_t expert)
+    void dropExpert(std::uint32_t rank, std::uint16_t expert)
     {
         std::erase(held_[rank], expert);
         std::erase(holders_[expert], rank);
@@ -121,12 +121,12 @@
         return shares_[expert] * static_cast<double>(held_.size()) / static_cast<double>(replicas) * paces_[rank];
     }
 
-    std::vector<std::uint16_t> hottestOf(std::uint32_t rank) const
+    std::vector<std::uint16_t> hottestExperts(std::uint32_t rank) const
     {
         std::vector<std::uint16_t> experts = held_[rank];
         const auto perReplica = [this, rank](std::uint16_t expert) { return workOf(rank, expert, holders_[expert].size()); };
         std::sort(experts.begin(), experts.end(), [&](std::uint16_t a, std::uint16_t b) { return perReplica(a) > perReplica(b); });
-        experts.resize(std::min(experts.size(), HottestTried));
+        experts.resize(std::min(experts.size(), CandidateExperts));
         return experts;
     }
 
@@ -146,36 +146,36 @@
         }
     }
 
-    void touch(std::uint32_t rank, double difference)
+    void addWork(std::uint32_t rank, double workChange)
     {
-        if (std::find(touched_.begin(), touched_.end(), rank) == touched_.end()) {
-            touched_.push_back(rank);
-            changed_[rank] = work_[rank];
+        if (std::find(affectedRanks_.begin(), affectedRanks_.end(), rank) == affectedRanks_.end()) {
+            affectedRanks_.push_back(rank);
+            newWork_[rank] = work_[rank];
         }
-        changed_[rank] += difference;
+        newWork_[rank] += workChange;
     }
 
     /** Adds what it alters in the ranks' work that an expert is held by these and no others any more. */
-    void gatherMove(std::uint16_t expert, std::optional<std::uint32_t> to, std::optional<std::uint32_t> from)
+    void addMove(std::uint16_t expert, std::optional<std::uint32_t> to, std::optional<std::uint32_t> from)
     {
         const std::size_t before = holders_[expert].size();
         const std::size_t after = before + (to ? 1 : 0) - (from ? 1 : 0);
         for (const std::uint32_t holder : holders_[expert]) {
-            const double then = holder == from ? 0 : workOf(holder, expert, after);
-            touch(holder, then - workOf(holder, expert, before));
+            const double newShare = holder == from ? 0 : workOf(holder, expert, after);
+            addWork(holder, newShare - workOf(holder, expert, before));
         }
         if (to) {
-            touch(*to, workOf(*to, expert, after));
+            addWork(*to, workOf(*to, expert, after));
         }
     }
 
     /** Leaves the ranks whose work a change alters in touched_, and their work afterwards in changed_. */
-    void gather(const Change &change)
+    void computeNewWork(const Change &change)
     {
-        touched_.clear();
-        gatherMove(change.expert, change.to, change.from);
+        affectedRanks_.clear();
+        addMove(change.expert, change.to, change.from);
         if (change.dropped) {
-            gatherMove(*change.dropped, {}, change.to);
+            addMove(*change.dropped, {}, change.to);
         }
     }
 
@@ -190,12 +190,12 @@
 
     void consider(std::optional<Change> &best, Change change)
     {
-        gather(change);
-        for (const std::uint32_t rank : touched_) {
-            change.gain += penaltyOf(work_[rank]) - penaltyOf(changed_[rank]);
+        computeNewWork(change);
+        for (const std::uint32_t rank : affectedRanks_) {
+            change.gain += penaltyOf(work_[rank]) - penaltyOf(newWork_[rank]);
         }
-        const double least = SmallestFall * penaltyOf(highest());
-        if (change.gain > least && (!best || change.gain > best->gain)) {
+        const double minimum = MinRelativeGain * penaltyOf(maxWork());
+        if (change.gain > minimum && (!best || change.gain > best->gain)) {
             best = change;
         }
     }
@@ -206,16 +206,16 @@
     std::vector<std::vector<std::uint32_t>> holders_; ///< By expert.
     std::vector<std::size_t> newCopies_; ///< By rank.
     std::vector<double> work_; ///< By rank.
-    std::vector<double> changed_; ///< By rank, where touched_ names it.
-    std::vector<std::uint32_t> touched_;
+    std::vector<double> newWork_; ///< By rank, where touched_ names it.
+    std::vector<std::uint32_t> affectedRanks_;
 };
 
 /** One pace for each rank: 1 where none is told, and where a rank is hardly slower than it should be. */
-std::vector<double> pacesOf(const ExpertMap &map, std::span<const double> told)
+std::vector<double> effectivePaces(const ExpertMap &map, std::span<const double> reported)
 {
     std::vector<double> paces(map.empty() ? 0 : map.front().size(), 1.0);
-    for (std::size_t rank = 0; rank < std::min(paces.size(), told.size()); ++rank) {
-        paces[rank] = told[rank] > LeastSlow ? told[rank] : 1.0;
+    for (std::size_t rank = 0; rank < std::min(paces.size(), reported.size()); ++rank) {
+        paces[rank] = reported[rank] > MinSlowPace ? reported[rank] : 1.0;
     }
     return paces;
 }
@@ -224,52 +224,52 @@
 
 double ReplicaPlanner::load(const ExpertMap &map, std::span<const std::vector<double>> shares, std::span<const double> paces)
 {
-    const std::vector<double> pacesOfRanks = pacesOf(map, paces);
+    const std::vector<double> pacesOfRanks = effectivePaces(map, paces);
     double sum = 0;
     for (std::size_t set = 0; set < map.size(); ++set) {
-        sum += SetPlacement(map[set], shares[set], pacesOfRanks).highest();
+        sum += SetPlacement(map[set], shares[set], pacesOfRanks).maxWork();
     }
     return sum;
 }
 
 std::optional<ReplicaPlan> ReplicaPlanner::plan(const ExpertMap &current, std::span<const std::vector<double>> shares, std::span<const double> paces) const
 {
-    const std::vector<double> pacesOfRanks = pacesOf(current, paces);
+    const std::vector<double> pacesOfRanks = effectivePaces(current, paces);
     std::vector<SetPlacement> sets;
     ReplicaPlan plan;
     for (std::size_t set = 0; set < current.size(); ++set) {
         sets.emplace_back(current[set], shares[set], pacesOfRanks);
-        plan.loadBefore += sets.back().highest();
+        plan.loadBefore += sets.back().maxWork();
     }
     std::vector<std::size_t> copies(current.empty() ? 0 : current.front().size(), 0);
     std::vector<bool> isDone(sets.size(), false);
     while (true) {
-        std::optional<std::size_t> worst;
+        std::optional<std::size_t> mostLoaded;
         for (std::size_t set = 0; set < sets.size(); ++set) {
-            if (!isDone[set] && (!worst || sets[set].highest() > sets[*worst].highest())) {
-                worst = set;
+            if (!isDone[set] && (!mostLoaded || sets[set].maxWork() > sets[*mostLoaded].maxWork())) {
+                mostLoaded = set;
             }
         }
-        if (!worst) {
+        if (!mostLoaded) {
             break;
         }
-        const auto change = sets[*worst].bestChange(options_, copies);
+        const auto change = sets[*mostLoaded].bestChange(options_, copies);
         if (!change) {
-            isDone[*worst] = true;
+            isDone[*mostLoaded] = true;
             continue;
         }
-        sets[*worst].apply(*change);
+        sets[*mostLoaded].apply(*change);
         if (change->to) {
             ++copies[*change->to];
             ++plan.copies;
         }
     }
     for (SetPlacement &set : sets) {
-        plan.loadAfter += set.highest();
-        plan.map.push_back(set.take());
+        plan.loadAfter += set.maxWork();
+        plan.map.push_back(set.takeMap());
     }
-    const bool isWorthIt = plan.loadAfter <= plan.loadBefore * (1 - options_.minGain);
-    return isWorthIt ? std::optional(std::move(plan)) : std::nullopt;
+    const bool isWorthwhile = plan.loadAfter <= plan.loadBefore * (1 - options_.minGain);
+    return isWorthwhile ? std::optional(std::move(plan)) : std::nullopt;
 }
 
 } // namespace magnolia::group
--- a/libs/group/tests/rankwitnesstest.cpp
+++ b/libs/group/tests/armedstateprovertest.cpp
@@ -1,4 +1,4 @@
-#include "group/rankwitness.h"
+#include "group/armedstateprover.h"
 #include "group/mapswitch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -27,22 +27,22 @@
 }
 
 /** All agents but the lost rank's were told the same fresh change. */
-struct WitnessFixture {
-    WitnessFixture()
+struct ArmedStateProverFixture {
+    ArmedStateProverFixture()
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
-            memories.push_back({.told = version, .isFresh = true, .peerArm = {}, .map = version - 1});
+            records.push_back({.preparedVersion = version, .isFresh = true, .peerArm = {}, .map = version - 1});
         }
     }
 
-    std::optional<RankWitness::Proof> judge()
+    std::optional<ArmedStateProver::Proof> prove()
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
-            if (rank != Lost && rank != unheard) {
-                witness.heard(rank, memories[rank]);
+            if (rank != Lost && rank != unreported) {
+                prover.recordSwitch(rank, records[rank]);
             }
         }
-        return witness.judge({.rank = Lost, .size = Ranks, .epoch = Epoch, .term = Term});
+        return prover.prove({.rank = Lost, .size = Ranks, .epoch = Epoch, .term = Term});
     }
 
     PeerArm arm(bool isAccepted) const
@@ -51,67 +51,67 @@
     }
 
     const std::uint64_t version = versionOf(Term, 3);
-    std::vector<RankMemory> memories;
-    std::optional<std::uint32_t> unheard;
-    RankWitness witness;
+    std::vector<SwitchRecord> records;
+    std::optional<std::uint32_t> unreported;
+    ArmedStateProver prover;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(RankWitnessTest, WitnessFixture)
+BOOST_FIXTURE_TEST_SUITE(ArmedStateProverTest, ArmedStateProverFixture)
 
 BOOST_AUTO_TEST_CASE(orderToArm_nobodyGaveIt_rankIsNotArmed)
 {
-    const auto proof = judge();
+    const auto proof = prove();
     BOOST_REQUIRE(proof.has_value());
     BOOST_TEST(!proof->armed.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(orderToArm_engineTookIt_rankIsArmed)
 {
-    memories[3].peerArm = arm(true);
-    const auto proof = judge();
+    records[3].peerArm = arm(true);
+    const auto proof = prove();
     BOOST_REQUIRE(proof.has_value());
     BOOST_TEST((proof->armed == ArmedMap{.version = version, .step = 90}));
 }
 
 BOOST_AUTO_TEST_CASE(orderToArm_hadNoAnswer_nothingIsProved)
 {
-    memories[3].peerArm = arm(false);
-    BOOST_TEST(!judge().has_value());
-    memories[2].peerArm = arm(true); // Tried again by another.
-    BOOST_TEST(judge()->armed.has_value());
+    records[3].peerArm = arm(false);
+    BOOST_TEST(!prove().has_value());
+    records[2].peerArm = arm(true); // Tried again by another.
+    BOOST_TEST(prove()->armed.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(orderToArm_ofAnEarlierChange_countsOnlyWhileThatIsNotInUse)
 {
-    memories[3].peerArm = arm(false);
-    memories[3].peerArm->version = version - 1;
-    BOOST_TEST(judge().has_value());
-    for (RankMemory &memory : memories) {
-        memory.map = version - 2; // That change never came to be.
+    records[3].peerArm = arm(false);
+    records[3].peerArm->version = version - 1;
+    BOOST_TEST(prove().has_value());
+    for (SwitchRecord &record : records) {
+        record.map = version - 2; // That change never came to be.
     }
-    BOOST_TEST(!judge().has_value());
+    BOOST_TEST(!prove().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(agent_startedAgainOrWasNotHeard_nothingIsProved)
 {
-    memories[2] = {.told = 0, .isFresh = false, .peerArm = {}, .map = version - 1};
-    BOOST_TEST(!judge().has_value());
-    memories[2] = memories[0];
-    unheard = 0;
-    witness.reset();
-    BOOST_TEST(!judge().has_value());
+    records[2] = {.preparedVersion = 0, .isFresh = false, .peerArm = {}, .map = version - 1};
+    BOOST_TEST(!prove().has_value());
+    records[2] = records[0];
+    unreported = 0;
+    prover.reset();
+    BOOST_TEST(!prove().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(change_undoesAnotherOrIsOfAnEarlierTerm_nothingIsProved)
 {
-    memories[2].isFresh = false;
-    BOOST_TEST(!judge().has_value());
-    for (RankMemory &memory : memories) {
-        memory = {.told = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .map = 0};
+    records[2].isFresh = false;
+    BOOST_TEST(!prove().has_value());
+    for (SwitchRecord &record : records) {
+        record = {.preparedVersion = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .map = 0};
     }
-    BOOST_TEST(!judge().has_value());
+    BOOST_TEST(!prove().has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/group/tests/bulkpacertest.cpp
+++ b/libs/group/tests/bulkpacertest.cpp
@@ -42,7 +42,7 @@
     BootTime now(1h);
     BootTime lastTold;
     for (; left > 0; now += 10ms) {
-        while (left > 0 && pacer.take(MapBytes, now)) {
+        while (left > 0 && pacer.tryConsume(MapBytes, now)) {
             interface.send(MapBytes, now);
             --left;
         }
@@ -58,7 +58,7 @@
 {
     BulkPacer pacer({.bytesPerSecond = 0});
     for (std::size_t agent = 0; agent < Agents; ++agent) {
-        BOOST_TEST(pacer.take(8000, BootTime(1h)));
+        BOOST_TEST(pacer.tryConsume(8000, BootTime(1h)));
     }
 }
 
@@ -66,7 +66,7 @@
 {
     BulkPacer pacer({.bytesPerSecond = 100'000, .burst = 20ms});
     std::size_t sent = 0;
-    while (pacer.take(500, BootTime(1h))) {
+    while (pacer.tryConsume(500, BootTime(1h))) {
         ++sent;
     }
     BOOST_TEST(sent <= 5U); // 2,000 bytes in 20 ms, and the one that goes over it.
--- a/libs/group/tests/changepolicytest.cpp
+++ b/libs/group/tests/changepolicytest.cpp
@@ -17,7 +17,7 @@
         for (int pass = 0; pass < count; ++pass) {
             now += 2 * each;
             step += 2;
-            policy.reported(step, isBusy, now);
+            policy.recordStep(step, isBusy, now);
         }
     }
 
@@ -35,25 +35,25 @@
 BOOST_AUTO_TEST_CASE(passes_short_onlyAnUnevenMapIsChanged)
 {
     passes(10, 50ms);
-    BOOST_TEST(!policy.wantsChange(1.2));
-    BOOST_TEST(policy.wantsChange(1.6));
+    BOOST_TEST(!policy.needsChange(1.2));
+    BOOST_TEST(policy.needsChange(1.6));
 }
 
 BOOST_AUTO_TEST_CASE(passes_nearTheObjective_eachHundredthCounts)
 {
     passes(10, 90ms);
-    BOOST_TEST(policy.wantsChange(1.2));
-    BOOST_TEST(!policy.wantsChange(1.05));
+    BOOST_TEST(policy.needsChange(1.2));
+    BOOST_TEST(!policy.needsChange(1.05));
     passes(10, 50ms);
-    BOOST_TEST(!policy.wantsChange(1.2));
+    BOOST_TEST(!policy.needsChange(1.2));
 }
 
 BOOST_AUTO_TEST_CASE(group_wasIdle_theTimeWithoutPassesIsNoPass)
 {
     passes(10, 50ms);
-    policy.reported(step, false, now);
+    policy.recordStep(step, false, now);
     now += 10s;
-    policy.reported(step, false, now);
+    policy.recordStep(step, false, now);
     passes(1, 50ms);
     BOOST_TEST(policy.passTime().count() < 60.0);
 }
@@ -63,10 +63,10 @@
     passes(10, 50ms);
     for (int report = 0; report < 3; ++report) {
         now += 10ms;
-        policy.reported(step, true, now);
+        policy.recordStep(step, true, now);
     }
     now += 70ms;
-    policy.reported(step + 2, true, now);
+    policy.recordStep(step + 2, true, now);
     BOOST_TEST(policy.passTime().count() < 55.0);
 }
 
@@ -74,14 +74,14 @@
 {
     policy = ChangePolicy({.pauseObjective = 120ms, .copyTime = 80ms});
     passes(10, 50ms);
-    BOOST_TEST(policy.wantsChange(1.2));
+    BOOST_TEST(policy.needsChange(1.2));
 }
 
 BOOST_AUTO_TEST_CASE(routes_withoutAnObjective_eachHundredthCounts)
 {
     policy = ChangePolicy({});
     passes(10, 10ms);
-    BOOST_TEST(policy.wantsChange(1.2));
+    BOOST_TEST(policy.needsChange(1.2));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/group/tests/expertdemandtest.cpp
+++ b/libs/group/tests/expertdemandtest.cpp
@@ -27,7 +27,7 @@
         while (now < end) {
             std::array<std::uint64_t, 2> counts{};
             counts.at(expert) = ChoicesOfReport;
-            demand.took(counts, now);
+            demand.addCounts(counts, now);
             now += BootClock::duration(Interval) / Ranks;
         }
     }
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(oneRanksReport_unlikeTheOthers_isNoMoreThanItsPart)
 {
     reportsFor(1s, 0);
-    demand.took(std::array<std::uint64_t, 2>{0, ChoicesOfReport}, now);
+    demand.addCounts(std::array<std::uint64_t, 2>{0, ChoicesOfReport}, now);
     BOOST_TEST(shareOf(1) < 1.0 / Ranks);
 }
 
--- a/libs/group/tests/groupcodectest.cpp
+++ b/libs/group/tests/groupcodectest.cpp
@@ -26,21 +26,21 @@
                           .runningRequests = 5,
                           .waitingRequests = 6,
                           .pace = 1.25};
-    BOOST_TEST((stateOf(reportOf(state)) == state));
+    BOOST_TEST((toRankState(toReport(state)) == state));
 }
 
 BOOST_AUTO_TEST_CASE(state_heldAtPassZero_isNotTakenForNone)
 {
     const RankState state{.group = "g", .heldStep = 0};
-    BOOST_TEST((stateOf(reportOf(state)) == state));
+    BOOST_TEST((toRankState(toReport(state)) == state));
 }
 
 BOOST_AUTO_TEST_CASE(order_withItsMap_survivesACommand)
 {
     const RankOrder order{.kind = RankOrderKind::Prepare, .epoch = 1, .version = 2, .step = 0, .map = ExpertMap{{{1, 2}, {3}}}};
-    wire::RankCommand command = commandOf(order, "g", 9);
+    wire::RankCommand command = toCommand(order, "g", 9);
     command.map = encodeMap(*order.map);
-    const auto read = orderOf(command, {});
+    const auto read = toOrder(command, {});
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST((*read->map == *order.map));
     BOOST_TEST(read->version == 2U);
@@ -48,15 +48,15 @@
 
 BOOST_AUTO_TEST_CASE(command_ofNoKnownKind_isRefused)
 {
-    BOOST_TEST(!orderOf({.group = "g", .term = 1, .kind = 99, .map = {}}, {}).has_value());
+    BOOST_TEST(!toOrder({.group = "g", .term = 1, .kind = 99, .map = {}}, {}).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(command_mapCutShort_isRefused)
 {
-    wire::RankCommand command = commandOf({.kind = RankOrderKind::Prepare}, "g", 9);
+    wire::RankCommand command = toCommand({.kind = RankOrderKind::Prepare}, "g", 9);
     command.map = encodeMap({{{1, 2}, {3}}});
     command.map.pop_back();
-    BOOST_TEST(!orderOf(command, {}).has_value());
+    BOOST_TEST(!toOrder(command, {}).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(counts_notPacked_areRefused)
--- a/libs/group/tests/rankworld.h
+++ b/libs/group/tests/groupsimulation.h
@@ -1,9 +1,9 @@
-#ifndef MAGNOLIA_GROUP_TESTS_RANKWORLD_H
-#define MAGNOLIA_GROUP_TESTS_RANKWORLD_H
+#ifndef MAGNOLIA_GROUP_TESTS_GROUPSIMULATION_H
+#define MAGNOLIA_GROUP_TESTS_GROUPSIMULATION_H
 
 #include "base/random.h"
+#include "group/armedstateprover.h"
 #include "group/mapswitch.h"
-#include "group/rankwitness.h"
 
 #include <algorithm>
 #include <optional>
@@ -19,13 +19,13 @@
 /** Which of the rules that keep a group on one map is taken out, to see that the world notices. */
 enum class Mutant {
     None,
-    BelievesOrders, ///< An order counts as carried out once it was given.
+    AssumesOrdersExecuted, ///< An order counts as carried out once it was given.
     ReusedVersions, ///< A successor counts its versions as its predecessor did.
-    DeafToTerms, ///< Agents heed a coordinator that has been replaced.
-    ArmsItself, ///< A coordinator's own agent arms its rank.
-    ForgetfulDeputy, ///< An agent that has started again vouches for what it does not remember.
-    UndoneIsFresh, ///< A change that undoes another counts as begun while nothing was armed.
-    GuessesUnarmed, ///< A rank that can't be reached counts as not armed, whatever the others remember.
+    IgnoresTerms, ///< Agents heed a coordinator that has been replaced.
+    CoordinatorArmsOwnRank, ///< A coordinator's own agent arms its rank.
+    PeerForgetsArm, ///< An agent that has started again vouches for what it does not remember.
+    UndoMarkedFresh, ///< A change that undoes another counts as begun while nothing was armed.
+    AssumesUnarmed, ///< A rank that can't be reached counts as not armed, whatever the others remember.
 };
 
 /**
@@ -38,18 +38,18 @@
  * Orders may be lost, carried out late or twice, and their answers never count. Engines don't compare maps. Before each
  * pass it is checked that all ranks have the same map, by version and content.
  */
-class RankWorld
+class GroupSimulation
 {
 public:
     struct Options {
         std::uint32_t ranks = 2;
         Mutant mutant = Mutant::None;
-        double lateShare = 0.3; ///< Of the orders that are carried out some time later instead.
-        double doubledShare = 0.1; ///< Of those carried out at once that are carried out again later.
+        double delayedShare = 0.3; ///< Of the orders that are carried out some time later instead.
+        double duplicatedShare = 0.1; ///< Of those carried out at once that are carried out again later.
     };
 
-    RankWorld(Options options, std::uint64_t seed)
-        : options_(options), random_(seed), engines_(options.ranks), agentTerms_(options.ranks, 0), memories_(options.ranks)
+    GroupSimulation(Options options, std::uint64_t seed)
+        : options_(options), random_(seed), engines_(options.ranks), agentTerms_(options.ranks, 0), records_(options.ranks)
     {
         for (std::uint32_t rank = 0; rank < options.ranks; ++rank) {
             engines_[rank].content = rank;
@@ -60,64 +60,64 @@
     /** Draws and plays one event. */
     void step()
     {
-        now_ += std::chrono::milliseconds(draw(1, 20));
-        if (frozen_ && now_ >= *wakesAt_) {
+        now_ += std::chrono::milliseconds(randomInt(1, 20));
+        if (frozen_ && now_ >= *thawsAt_) {
             frozen_.reset();
         }
-        switch (draw(0, 12)) {
+        switch (randomInt(0, 12)) {
         case 0:
         case 1:
             runPass();
             break;
         case 2:
-            carryOutLate();
+            executeDelayed();
             break;
         case 3:
-            tick(current_);
+            update(current_);
             break;
         case 4:
-            if (rival_ && draw(0, 1) == 0) {
-                tick(*rival_);
+            if (rival_ && randomInt(0, 1) == 0) {
+                update(*rival_);
             }
             break;
         case 5:
-            if (draw(0, 60) == 0) {
+            if (randomInt(0, 60) == 0) {
                 takeOver();
             }
             break;
         case 6:
-            if (draw(0, 150) == 0) {
-                formAnew();
+            if (randomInt(0, 150) == 0) {
+                formNewEpoch();
             }
             break;
         case 7:
-            if (draw(0, 40) == 0) {
+            if (randomInt(0, 40) == 0) {
                 freezeOrRestart();
             }
             break;
         default:
-            report(draw(0, options_.ranks - 1));
-            tick(current_);
+            report(randomInt(0, options_.ranks - 1));
+            update(current_);
             break;
         }
     }
 
     /** Plays on with nothing going wrong any more. @return whether the group runs and can be switched again. */
-    bool settles()
+    bool recovers()
     {
-        options_.lateShare = 0;
-        options_.doubledShare = 0;
-        late_.clear();
+        options_.delayedShare = 0;
+        options_.duplicatedShare = 0;
+        delayed_.clear();
         rival_.reset();
         frozen_.reset();
-        isSettling_ = true;
+        isRecovering_ = true;
         const std::uint64_t before = step_;
         for (int round = 0; round < 2000; ++round) {
             now_ += std::chrono::milliseconds(10);
             for (std::uint32_t rank = 0; rank < options_.ranks; ++rank) {
                 report(rank);
             }
-            tick(current_);
+            update(current_);
             runPass();
             const bool isRunning = step_ > before + 20;
             if (isRunning && current_.change.isIdle() && !fault_) {
@@ -140,9 +140,9 @@
         return step_;
     }
     /** How often a successor went on by the others' word. */
-    std::uint64_t vouched() const
+    std::uint64_t proofs() const
     {
-        return vouched_;
+        return proofs_;
     }
 
 private:
@@ -164,7 +164,7 @@
         MapSwitch change;
         BootTime begunAt{};
         std::uint32_t at = 0; ///< The rank of its instance.
-        RankWitness witness{};
+        ArmedStateProver prover{};
         std::optional<std::uint64_t> predecessorTerm{};
         std::uint32_t predecessorAt = 0;
         std::vector<BootTime> heardAt{}; ///< By rank.
@@ -172,26 +172,26 @@
     };
 
     /** An order on its way to an engine, or a command on its way to the agent that is to give it. */
-    struct Late {
+    struct DelayedOrder {
         std::uint32_t rank = 0;
         RankOrder order;
         std::uint64_t epoch = 0;
-        std::optional<std::uint32_t> via{}; ///< Of a command.
+        std::optional<std::uint32_t> senderRank{}; ///< Of a command.
         std::uint64_t term = 0; ///< Of a command.
     };
 
-    std::uint32_t draw(std::uint32_t least, std::uint32_t most)
+    std::uint32_t randomInt(std::uint32_t least, std::uint32_t most)
     {
         return std::uniform_int_distribution<std::uint32_t>(least, most)(random_);
     }
-    bool chance(double share)
+    bool randomBool(double share)
     {
         return std::uniform_real_distribution<double>(0, 1)(random_) < share;
     }
 
     void takeOver()
     {
-        const std::uint32_t at = draw(0, options_.ranks - 1);
+        const std::uint32_t at = randomInt(0, options_.ranks - 1);
         if (at == frozen_) {
             return;
         }
@@ -210,24 +210,24 @@
         if (knowsPredecessor) {
             current_.predecessorTerm = predecessorTerm;
         }
-        current_.change.setCurrent(mapOf(0));
+        current_.change.setFallbackMap(mapOf(0));
         current_.change.setOwnRank(at);
         agentTerms_[at] = terms_;
     }
 
     void freezeOrRestart()
     {
-        const std::uint32_t rank = draw(0, options_.ranks - 1);
-        if (draw(0, 3) == 0) {
-            memories_[rank] = {};
+        const std::uint32_t rank = randomInt(0, options_.ranks - 1);
+        if (randomInt(0, 3) == 0) {
+            records_[rank] = {};
         } else if (!frozen_) {
             // Most often the coordinator's: it is the one that gives orders.
-            frozen_ = draw(0, 2) > 0 ? current_.at : rank;
-            wakesAt_ = now_ + std::chrono::milliseconds(draw(50, 3000));
+            frozen_ = randomInt(0, 2) > 0 ? current_.at : rank;
+            thawsAt_ = now_ + std::chrono::milliseconds(randomInt(50, 3000));
         }
     }
 
-    void formAnew()
+    void formNewEpoch()
     {
         ++epoch_;
         for (Engine &engine : engines_) {
@@ -262,98 +262,98 @@
         if (rank == frozen_) {
             return;
         }
-        if (draw(0, 3) > 0 || agentTerms_[rank] == 0) {
+        if (randomInt(0, 3) > 0 || agentTerms_[rank] == 0) {
             agentTerms_[rank] = std::max(agentTerms_[rank], current_.term);
         }
         if (agentTerms_[rank] == current_.term) {
-            hear(current_, rank);
+            deliverReport(current_, rank);
         }
-        const bool isHeardByRival = options_.mutant == Mutant::DeafToTerms || (rival_ && agentTerms_[rank] == rival_->term);
+        const bool isHeardByRival = options_.mutant == Mutant::IgnoresTerms || (rival_ && agentTerms_[rank] == rival_->term);
         if (rival_ && isHeardByRival) {
-            hear(*rival_, rank);
+            deliverReport(*rival_, rank);
         }
     }
 
-    void hear(Coordinator &coordinator, std::uint32_t rank)
+    void deliverReport(Coordinator &coordinator, std::uint32_t rank)
     {
         if (coordinator.at == frozen_) {
             return;
         }
-        coordinator.change.reported(stateOf(rank), now_);
+        coordinator.change.onRankReport(stateOf(rank), now_);
         if (coordinator.epoch != epoch_) {
             coordinator.epoch = epoch_;
-            coordinator.witness.reset();
+            coordinator.prover.reset();
         }
-        RankMemory memory = memories_[rank];
-        memory.map = engines_[rank].map;
-        coordinator.witness.heard(rank, memory);
-        coordinator.change.told(rank, memory.told);
+        SwitchRecord record = records_[rank];
+        record.map = engines_[rank].map;
+        coordinator.prover.recordSwitch(rank, record);
+        coordinator.change.onPrepareAcknowledged(rank, record.preparedVersion);
         coordinator.heardAt[rank] = now_;
     }
 
-    void tick(Coordinator &coordinator)
+    void update(Coordinator &coordinator)
     {
         if (coordinator.at == frozen_) {
             return;
         }
-        vouch(coordinator);
-        if (coordinator.change.canBegin() && !isSettling_) {
-            coordinator.change.begin(mapOf(1 + draw(0, 1000)), mapOf(0), now_);
+        applyPredecessorProof(coordinator);
+        if (coordinator.change.canBegin() && !isRecovering_) {
+            coordinator.change.begin(mapOf(1 + randomInt(0, 1000)), mapOf(0), now_);
             ++switches_;
         }
-        for (const AddressedOrder &addressed : coordinator.change.due(now_)) {
+        for (const AddressedOrder &addressed : coordinator.change.takeDueOrders(now_)) {
             send(coordinator, addressed);
-            if (options_.mutant == Mutant::BelievesOrders) {
-                believe(coordinator, addressed);
+            if (options_.mutant == Mutant::AssumesOrdersExecuted) {
+                assumeExecuted(coordinator, addressed);
             }
         }
     }
 
-    void vouch(Coordinator &coordinator)
+    void applyPredecessorProof(Coordinator &coordinator)
     {
-        constexpr std::chrono::milliseconds Soonest{120};
-        if (coordinator.change.phase() != MapSwitch::Phase::Unknown || !coordinator.predecessorTerm || now_ - coordinator.begunAt < Soonest) {
+        constexpr std::chrono::milliseconds ProofDelay{120};
+        if (coordinator.change.phase() != MapSwitch::Phase::Unknown || !coordinator.predecessorTerm || now_ - coordinator.begunAt < ProofDelay) {
             return;
         }
-        const std::uint32_t absent = coordinator.predecessorAt;
+        const std::uint32_t unreachable = coordinator.predecessorAt;
         for (std::uint32_t rank = 0; rank < coordinator.change.size(); ++rank) {
-            if ((coordinator.change.rank(rank) != nullptr) == (rank == absent)) {
+            if ((coordinator.change.rank(rank) != nullptr) == (rank == unreachable)) {
                 return;
             }
         }
-        auto proof = coordinator.witness.judge(
-            {.rank = absent, .size = coordinator.change.size(), .epoch = coordinator.change.epoch(), .term = *coordinator.predecessorTerm});
-        if (options_.mutant == Mutant::GuessesUnarmed) {
-            proof = RankWitness::Proof{};
+        auto proof = coordinator.prover.prove(
+            {.rank = unreachable, .size = coordinator.change.size(), .epoch = coordinator.change.epoch(), .term = *coordinator.predecessorTerm});
+        if (options_.mutant == Mutant::AssumesUnarmed) {
+            proof = ArmedStateProver::Proof{};
         }
         if (proof && coordinator.change.size() > 0) {
-            coordinator.change.vouch(absent, proof->armed, now_);
-            ++vouched_;
+            coordinator.change.setProvenState(unreachable, proof->armed, now_);
+            ++proofs_;
         }
     }
 
     void send(Coordinator &coordinator, AddressedOrder addressed)
     {
         const bool isOwnArm = addressed.rank == coordinator.at && addressed.order.kind == RankOrderKind::Arm;
-        if (options_.mutant == Mutant::ArmsItself && isOwnArm) {
-            addressed.via = addressed.rank;
+        if (options_.mutant == Mutant::CoordinatorArmsOwnRank && isOwnArm) {
+            addressed.senderRank = addressed.rank;
         }
-        if (options_.mutant == Mutant::UndoneIsFresh) {
+        if (options_.mutant == Mutant::UndoMarkedFresh) {
             addressed.order.isFresh = true;
         }
-        const bool isFromAfar = addressed.via == coordinator.at && addressed.rank != coordinator.at;
-        if (isFromAfar && hasHeardAll(coordinator)) {
-            giveTo({.rank = addressed.rank, .order = addressed.order, .epoch = epoch_});
-        } else if (!isFromAfar) {
-            deliver({.rank = addressed.rank, .order = addressed.order, .epoch = epoch_, .via = addressed.via, .term = coordinator.term});
+        const bool isDirect = addressed.senderRank == coordinator.at && addressed.rank != coordinator.at;
+        if (isDirect && hasHeardFromAll(coordinator)) {
+            deliverOrder({.rank = addressed.rank, .order = addressed.order, .epoch = epoch_});
+        } else if (!isDirect) {
+            deliverCommand({.rank = addressed.rank, .order = addressed.order, .epoch = epoch_, .senderRank = addressed.senderRank, .term = coordinator.term});
         }
     }
 
-    bool hasHeardAll(const Coordinator &coordinator) const
+    bool hasHeardFromAll(const Coordinator &coordinator) const
     {
-        constexpr std::chrono::milliseconds Silence{400};
+        constexpr std::chrono::milliseconds ReportTimeout{400};
         for (std::uint32_t rank = 0; rank < options_.ranks; ++rank) {
-            if (rank != coordinator.at && now_ - coordinator.heardAt[rank] > Silence) {
+            if (rank != coordinator.at && now_ - coordinator.heardAt[rank] > ReportTimeout) {
                 return false;
             }
         }
@@ -361,86 +361,86 @@
     }
 
     /** A command reaches the agent that is to give the order. */
-    void deliver(const Late &command)
+    void deliverCommand(const DelayedOrder &command)
     {
-        const std::uint32_t via = *command.via;
-        if (via == frozen_) {
-            late_.push_back(command);
+        const std::uint32_t senderRank = *command.senderRank;
+        if (senderRank == frozen_) {
+            delayed_.push_back(command);
             return;
         }
-        if (options_.mutant != Mutant::DeafToTerms && agentTerms_[via] > command.term) {
+        if (options_.mutant != Mutant::IgnoresTerms && agentTerms_[senderRank] > command.term) {
             return;
         }
-        agentTerms_[via] = std::max(agentTerms_[via], command.term);
-        Late order{.rank = command.rank, .order = command.order, .epoch = command.epoch};
-        RankMemory &memory = memories_[via];
+        agentTerms_[senderRank] = std::max(agentTerms_[senderRank], command.term);
+        DelayedOrder order{.rank = command.rank, .order = command.order, .epoch = command.epoch};
+        SwitchRecord &record = records_[senderRank];
         if (command.order.kind == RankOrderKind::Prepare) {
-            memory.told = command.order.version;
-            memory.isFresh = command.order.isFresh;
+            record.preparedVersion = command.order.version;
+            record.isFresh = command.order.isFresh;
         }
-        if (command.rank == via) {
-            giveTo(order);
+        if (command.rank == senderRank) {
+            deliverOrder(order);
             return;
         }
         PeerArm arm{.rank = command.rank, .epoch = command.order.epoch, .version = command.order.version, .step = command.order.step};
-        arm.isAccepted = memory.peerArm && memory.peerArm->version == arm.version && memory.peerArm->step == arm.step && memory.peerArm->isAccepted;
-        memory.peerArm = arm;
-        if (giveTo(order) && engines_[command.rank].armed == ArmedMap{.version = arm.version, .step = arm.step}) {
-            memory.peerArm->isAccepted = true;
+        arm.isAccepted = record.peerArm && record.peerArm->version == arm.version && record.peerArm->step == arm.step && record.peerArm->isAccepted;
+        record.peerArm = arm;
+        if (deliverOrder(order) && engines_[command.rank].armed == ArmedMap{.version = arm.version, .step = arm.step}) {
+            record.peerArm->isAccepted = true;
         }
-        if (options_.mutant == Mutant::ForgetfulDeputy && draw(0, 3) == 0) {
-            memory.peerArm.reset(); // It starts again, and vouches all the same.
+        if (options_.mutant == Mutant::PeerForgetsArm && randomInt(0, 3) == 0) {
+            record.peerArm.reset(); // It starts again, and vouches all the same.
         }
     }
 
     /** What a coordinator would see that takes an order for its effect. */
-    void believe(Coordinator &coordinator, const AddressedOrder &addressed)
+    void assumeExecuted(Coordinator &coordinator, const AddressedOrder &addressed)
     {
         RankState state = stateOf(addressed.rank);
         if (addressed.order.kind == RankOrderKind::Arm) {
             state.armed = ArmedMap{.version = addressed.order.version, .step = addressed.order.step};
         }
-        coordinator.change.reported(state, now_);
+        coordinator.change.onRankReport(state, now_);
     }
 
     /** An order reaches an engine, now or later. @return true if it was carried out now, and the engine said so. */
-    bool giveTo(const Late &order)
+    bool deliverOrder(const DelayedOrder &order)
     {
-        if (order.rank == frozen_ || chance(options_.lateShare)) {
-            late_.push_back(order);
+        if (order.rank == frozen_ || randomBool(options_.delayedShare)) {
+            delayed_.push_back(order);
             return false;
         }
-        carryOut(order);
-        if (chance(options_.doubledShare)) {
-            late_.push_back(order);
+        executeOrder(order);
+        if (randomBool(options_.duplicatedShare)) {
+            delayed_.push_back(order);
         }
         return true;
     }
 
-    void carryOutLate()
+    void executeDelayed()
     {
-        if (late_.empty()) {
+        if (delayed_.empty()) {
             return;
         }
-        const std::size_t index = draw(0, static_cast<std::uint32_t>(late_.size()) - 1);
-        const Late late = late_[index];
-        late_.erase(late_.begin() + static_cast<std::ptrdiff_t>(index));
-        if (draw(0, 4) == 0) {
+        const std::size_t index = randomInt(0, static_cast<std::uint32_t>(delayed_.size()) - 1);
+        const DelayedOrder delayed = delayed_[index];
+        delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(index));
+        if (randomInt(0, 4) == 0) {
             return; // It is lost.
         }
-        if (late.via) {
-            deliver(late);
-        } else if (late.rank == frozen_) {
-            late_.push_back(late);
+        if (delayed.senderRank) {
+            deliverCommand(delayed);
+        } else if (delayed.rank == frozen_) {
+            delayed_.push_back(delayed);
         } else {
-            carryOut(late);
+            executeOrder(delayed);
         }
     }
 
-    void carryOut(const Late &late)
+    void executeOrder(const DelayedOrder &delayed)
     {
-        Engine &engine = engines_[late.rank];
-        const RankOrder &order = late.order;
+        Engine &engine = engines_[delayed.rank];
+        const RankOrder &order = delayed.order;
         if (order.epoch != epoch_) {
             return;
         }
@@ -510,16 +510,16 @@
     std::uint64_t step_ = 0;
     std::vector<Engine> engines_;
     std::vector<std::uint64_t> agentTerms_;
-    std::vector<RankMemory> memories_; ///< Of the agents.
+    std::vector<SwitchRecord> records_; ///< Of the agents.
     std::optional<std::uint32_t> frozen_; ///< Rank of an instance that can't be reached.
-    std::optional<BootTime> wakesAt_;
-    std::uint64_t vouched_ = 0;
+    std::optional<BootTime> thawsAt_;
+    std::uint64_t proofs_ = 0;
     std::uint64_t terms_ = 0;
     Coordinator current_{.term = 0, .change = MapSwitch(MapSwitch::Options{})};
     std::optional<Coordinator> rival_;
-    std::vector<Late> late_;
+    std::vector<DelayedOrder> delayed_;
     std::uint64_t switches_ = 0;
-    bool isSettling_ = false; ///< No further switch is begun.
+    bool isRecovering_ = false; ///< No further switch is begun.
     std::optional<std::string> fault_;
 };
 
--- a/libs/group/tests/mapcodectest.cpp
+++ b/libs/group/tests/mapcodectest.cpp
@@ -59,7 +59,7 @@
                                  ExpertMap{{{0, 1, 4}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}},
                                  ExpertMap{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3}}},
                                  ExpertMap{{{1}, {0, 3}, {2, 4}}, {{4}, {0, 1}, {2, 3}}}}) {
-        BOOST_TEST((applyMapChange(base, encodeMapChange(base, map)).value() == map));
+        BOOST_TEST((applyMapDelta(base, encodeMapDelta(base, map)).value() == map));
     }
 }
 
@@ -70,15 +70,15 @@
     const ExpertMap base{{{5, 0}, {3, 2}}};
     const ExpertMap map{{{5, 0}, {2, 4}}};
     const auto whole = decodeMap(encodeMap(map)).value();
-    BOOST_TEST((applyMapChange(base, encodeMapChange(base, map)).value() == whole));
+    BOOST_TEST((applyMapDelta(base, encodeMapDelta(base, map)).value() == whole));
 }
 
 BOOST_AUTO_TEST_CASE(change_ofAnotherShape_isNotMadeOrTaken)
 {
-    BOOST_TEST(encodeMapChange({{{0}, {1}}}, {{{0, 1}}}).empty());
-    const std::string change = encodeMapChange({{{0}, {1}}}, {{{0}, {0}}});
-    BOOST_TEST(!applyMapChange({{{0}}}, change).has_value());
-    BOOST_TEST(!applyMapChange({{{0}, {1}, {2}}}, change).has_value());
+    BOOST_TEST(encodeMapDelta({{{0}, {1}}}, {{{0, 1}}}).empty());
+    const std::string change = encodeMapDelta({{{0}, {1}}}, {{{0}, {0}}});
+    BOOST_TEST(!applyMapDelta({{{0}}}, change).has_value());
+    BOOST_TEST(!applyMapDelta({{{0}, {1}, {2}}}, change).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(bytes_cutShortOrSpoilt_areRefused)
@@ -90,7 +90,7 @@
     BOOST_TEST(!decodeMap(packedOf({1, 1, 200, 1})).has_value()); // More experts than bytes.
     BOOST_TEST(!decodeMap(packedOf({1, 1, 1, 70000})).has_value()); // No expert has that number.
     BOOST_TEST(!decodeMap(packedOf({1, 1, 1, 7, 7})).has_value()); // Something is left.
-    BOOST_TEST(!applyMapChange({{{1}}}, packedOf({0})).has_value()); // No distance is 0.
+    BOOST_TEST(!applyMapDelta({{{1}}}, packedOf({0})).has_value()); // No distance is 0.
     PackedWriter header;
     header.put(std::uint64_t(1) << 40U);
     BOOST_TEST(!decodeMap(header.packed().substr(0, 3) + std::string(6, '\xff')).has_value()); // Larger than any map.
@@ -114,9 +114,9 @@
         counts[index] = 20'000 / (1 + (index * 29) % Experts) + (index * 7919) % 50;
         total += counts[index];
     }
-    const std::string told = encodeCounts(counts);
-    BOOST_TEST(told.size() <= counts.size() / 2);
-    const auto read = decodeCounts(told).value();
+    const std::string encoded = encodeCounts(counts);
+    BOOST_TEST(encoded.size() <= counts.size() / 2);
+    const auto read = decodeCounts(encoded).value();
     const std::uint64_t halfUnit = total / counts.size() / 4 / 2;
     for (std::size_t index = 0; index < counts.size(); ++index) {
         BOOST_TEST(std::max(read[index], counts[index]) - std::min(read[index], counts[index]) <= halfUnit);
@@ -137,15 +137,15 @@
         const std::size_t rank = (place * 7) % static_cast<std::size_t>(ranks);
         map[set][rank] = other[set][rank];
     }
-    BOOST_TEST(encodeMapChange(base, map).size() <= Changed * BytesForEach + Frame);
+    BOOST_TEST(encodeMapDelta(base, map).size() <= Changed * BytesForEach + Frame);
 }
 
 BOOST_AUTO_TEST_CASE(knownMaps_changeGivenUp_theOneInUseIsKept)
 {
     KnownMaps known;
-    known.tell(5, ExpertMap{{{0}}}, 0);
-    known.tell(6, ExpertMap{{{1}}}, 5);
-    known.tell(7, ExpertMap{{{2}}}, 5);
+    known.add(5, ExpertMap{{{0}}}, 0);
+    known.add(6, ExpertMap{{{1}}}, 5);
+    known.add(7, ExpertMap{{{2}}}, 5);
     BOOST_TEST(known.find(5) != nullptr);
     BOOST_TEST(known.find(6) == nullptr);
     BOOST_TEST((*known.find(7) == ExpertMap{{{2}}}));
--- a/libs/group/tests/mapswitchtest.cpp
+++ b/libs/group/tests/mapswitchtest.cpp
@@ -1,5 +1,5 @@
 #include "group/mapswitch.h"
-#include "rankworld.h"
+#include "groupsimulation.h"
 
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -22,14 +22,14 @@
     {
         for (RankState &state : states) {
             change(state);
-            mapSwitch.reported(state, now);
+            mapSwitch.onRankReport(state, now);
         }
     }
 
-    std::vector<AddressedOrder> due()
+    std::vector<AddressedOrder> takeDueOrders()
     {
         now += 1s;
-        return mapSwitch.due(now);
+        return mapSwitch.takeDueOrders(now);
     }
 
     BootTime now = BootTime(1h);
@@ -43,9 +43,9 @@
 
 BOOST_AUTO_TEST_CASE(oneRank_hasNotReported_nothingIsBegun)
 {
-    mapSwitch.reported(states[0], now);
+    mapSwitch.onRankReport(states[0], now);
     BOOST_TEST(!mapSwitch.isIdle());
-    mapSwitch.reported(states[1], now);
+    mapSwitch.onRankReport(states[1], now);
     BOOST_TEST(mapSwitch.isIdle());
 }
 
@@ -55,22 +55,22 @@
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
-    BOOST_TEST(mapSwitch.due(now).size() == 2U);
-    mapSwitch.told(0, mapSwitch.version());
-    const auto again = mapSwitch.due(now + 500ms);
+    BOOST_TEST(mapSwitch.takeDueOrders(now).size() == 2U);
+    mapSwitch.onPrepareAcknowledged(0, mapSwitch.version());
+    const auto again = mapSwitch.takeDueOrders(now + 500ms);
     BOOST_REQUIRE(again.size() == 1U);
     BOOST_TEST(again[0].rank == 1U);
-    BOOST_TEST(mapSwitch.due(now + 1000ms).empty()); // Doubled: the interface may be busy with the first ones.
-    BOOST_TEST(mapSwitch.due(now + 1400ms).size() == 2U); // The engine may have forgotten it.
+    BOOST_TEST(mapSwitch.takeDueOrders(now + 1000ms).empty()); // Doubled: the interface may be busy with the first ones.
+    BOOST_TEST(mapSwitch.takeDueOrders(now + 1400ms).size() == 2U); // The engine may have forgotten it.
 }
 
 BOOST_AUTO_TEST_CASE(switch_allGoesWell_holdsArmsAndReleasesInThatOrder)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
-    BOOST_TEST(due().size() == 2U);
+    BOOST_TEST(takeDueOrders().size() == 2U);
     reportAll([&](RankState &state) { state.preparedVersion = mapSwitch.version(); });
-    const auto hold = due();
+    const auto hold = takeDueOrders();
     BOOST_REQUIRE(hold.size() == 1U);
     BOOST_TEST((hold[0].order.kind == RankOrderKind::Hold));
     const std::uint64_t step = hold[0].order.step;
@@ -80,17 +80,17 @@
             state.heldStep = step;
         }
     });
-    const auto arm = due();
+    const auto arm = takeDueOrders();
     BOOST_REQUIRE(arm.size() == 2U);
     BOOST_TEST((arm[0].order.kind == RankOrderKind::Arm));
     BOOST_TEST(arm[1].order.step == step);
     states[0].armed = ArmedMap{.version = mapSwitch.version(), .step = step};
-    mapSwitch.reported(states[0], now);
-    for (const AddressedOrder &order : mapSwitch.due(now)) {
+    mapSwitch.onRankReport(states[0], now);
+    for (const AddressedOrder &order : mapSwitch.takeDueOrders(now)) {
         BOOST_TEST((order.order.kind != RankOrderKind::Release)); // One rank is not armed yet.
     }
     reportAll([&](RankState &state) { state.armed = ArmedMap{.version = mapSwitch.version(), .step = step}; });
-    const auto release = due();
+    const auto release = takeDueOrders();
     BOOST_REQUIRE(release.size() == 1U);
     BOOST_TEST((release[0].order.kind == RankOrderKind::Release));
     reportAll([&](RankState &state) {
@@ -108,12 +108,12 @@
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
     const std::uint64_t version = mapSwitch.version();
     reportAll([&](RankState &state) { state.preparedVersion = version; });
-    states[0].heldStep = due().front().order.step;
+    states[0].heldStep = takeDueOrders().front().order.step;
     reportAll([](RankState &) {});
     states[0].armed = ArmedMap{.version = version, .step = *states[0].heldStep};
     reportAll([](RankState &) {});
     now += 10s;
-    const auto undo = due();
+    const auto undo = takeDueOrders();
     BOOST_REQUIRE(undo.size() == 2U);
     BOOST_TEST((undo[0].order.kind == RankOrderKind::Disarm));
     BOOST_TEST((undo[1].order.kind == RankOrderKind::Prepare));
@@ -122,12 +122,12 @@
     states[0].armed.reset();
     reportAll([](RankState &) {});
     // Disarmed is not enough: an order to arm that is still on its way would find the map prepared.
-    const auto replace = due();
+    const auto replace = takeDueOrders();
     BOOST_REQUIRE(replace.size() == 1U);
     BOOST_TEST((replace[0].order.kind == RankOrderKind::Prepare));
     states[0].preparedVersion = replace[0].order.version;
     reportAll([](RankState &) {});
-    const auto release = due();
+    const auto release = takeDueOrders();
     BOOST_REQUIRE(release.size() == 1U);
     BOOST_TEST((release[0].order.kind == RankOrderKind::Release));
 }
@@ -136,7 +136,7 @@
 {
     states[0].heldStep = 14;
     reportAll([](RankState &state) { state.armed = ArmedMap{.version = 77, .step = 14}; });
-    const auto release = due();
+    const auto release = takeDueOrders();
     BOOST_REQUIRE(release.size() == 1U);
     BOOST_TEST((release[0].order.kind == RankOrderKind::Release));
     BOOST_TEST(release[0].order.step == 14U);
@@ -147,7 +147,7 @@
     states[0].heldStep = 14;
     states[1].armed = ArmedMap{.version = 77, .step = 14};
     reportAll([](RankState &) {});
-    for (const AddressedOrder &order : due()) {
+    for (const AddressedOrder &order : takeDueOrders()) {
         BOOST_TEST((order.order.kind != RankOrderKind::Release));
     }
     BOOST_TEST((mapSwitch.phase() == MapSwitch::Phase::Undoing));
@@ -157,13 +157,13 @@
 {
     // Symptom: a group stood still for good. Sequence: an order to hold got no answer, was given again for a later pass, and
     // the first was carried out seconds later. Cause: a hold never expires, and nobody waited for this one.
-    mapSwitch.setCurrent({{{1}, {2}}});
+    mapSwitch.setFallbackMap({{{1}, {2}}});
     reportAll([](RankState &) {});
     states[1].heldStep = 30;
     reportAll([](RankState &) {});
     bool isReleased = false;
     for (int round = 0; round < 10 && !isReleased; ++round) {
-        for (const AddressedOrder &order : due()) {
+        for (const AddressedOrder &order : takeDueOrders()) {
             isReleased = isReleased || (order.order.kind == RankOrderKind::Release && order.order.step == 30U);
             if (order.order.kind == RankOrderKind::Prepare) {
                 states[order.rank].preparedVersion = order.order.version;
@@ -179,9 +179,9 @@
     states[1].heldStep = 30;
     reportAll([](RankState &) {});
     BOOST_TEST((mapSwitch.phase() == MapSwitch::Phase::Undoing));
-    BOOST_TEST(due().empty());
-    mapSwitch.setCurrent({{{1}, {2}}});
-    const auto orders = due();
+    BOOST_TEST(takeDueOrders().empty());
+    mapSwitch.setFallbackMap({{{1}, {2}}});
+    const auto orders = takeDueOrders();
     BOOST_REQUIRE(orders.size() == 2U);
     BOOST_TEST(!orders[0].order.map.empty());
 }
@@ -191,9 +191,9 @@
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
     reportAll([&](RankState &state) { state.preparedVersion = mapSwitch.version(); });
-    const std::uint64_t first = due().front().order.step;
+    const std::uint64_t first = takeDueOrders().front().order.step;
     reportAll([&](RankState &state) { state.step = first; });
-    const auto again = due();
+    const auto again = takeDueOrders();
     BOOST_REQUIRE(again.size() == 1U);
     BOOST_TEST(again[0].order.step > first);
 }
@@ -204,9 +204,9 @@
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
     reportAll([](RankState &state) { state.epoch = 2; });
     BOOST_TEST(mapSwitch.isIdle());
-    BOOST_TEST(due().empty());
+    BOOST_TEST(takeDueOrders().empty());
     states[0].epoch = 1;
-    mapSwitch.reported(states[0], now); // Late: of the epoch before.
+    mapSwitch.onRankReport(states[0], now); // Late: of the epoch before.
     BOOST_TEST(mapSwitch.epoch() == 2U);
 }
 
@@ -214,8 +214,8 @@
 {
     MapSwitch successor({.term = 6});
     for (const RankState &state : states) {
-        mapSwitch.reported(state, now);
-        successor.reported(state, now);
+        mapSwitch.onRankReport(state, now);
+        successor.onRankReport(state, now);
     }
     mapSwitch.begin({}, {}, now);
     successor.begin({}, {}, now);
@@ -227,60 +227,60 @@
 namespace
 {
 
-struct WorldSize {
+struct SimulationSize {
     std::uint32_t ranks;
     int runs;
     int events;
 };
 
-std::ostream &operator<<(std::ostream &out, const WorldSize &size)
+std::ostream &operator<<(std::ostream &out, const SimulationSize &size)
 {
     return out << size.ranks << " ranks";
 }
 
-const std::vector<WorldSize> WorldSizes{{2, 3000, 600}, {3, 2000, 800}, {12, 300, 2000}, {24, 80, 3000}, {64, 400, 12000}};
+const std::vector<SimulationSize> SimulationSizes{{2, 3000, 600}, {3, 2000, 800}, {12, 300, 2000}, {24, 80, 3000}, {64, 400, 12000}};
 
 /** @return 1 if one of the runs ended in a pass on two maps; the others are not needed then. */
-int faultyRuns(Mutant mutant, WorldSize size)
+int faultyRuns(Mutant mutant, SimulationSize size)
 {
     int faulty = 0;
     for (int run = 0; run < size.runs && faulty == 0; ++run) {
-        RankWorld world({.ranks = size.ranks, .mutant = mutant}, static_cast<std::uint64_t>(run) + 1);
-        for (int event = 0; event < size.events && !world.fault(); ++event) {
-            world.step();
+        GroupSimulation simulation({.ranks = size.ranks, .mutant = mutant}, static_cast<std::uint64_t>(run) + 1);
+        for (int event = 0; event < size.events && !simulation.fault(); ++event) {
+            simulation.step();
         }
-        faulty += world.fault() ? 1 : 0;
+        faulty += simulation.fault() ? 1 : 0;
     }
     return faulty;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(RankWorldTest)
+BOOST_AUTO_TEST_SUITE(GroupSimulationTest)
 
 // Orders late, lost and doubled, coordinators replaced while they go on, groups formed anew, at any point.
-BOOST_DATA_TEST_CASE(group_anythingGoesWrong_noPassOnTwoMapsAndItGoesOn, boost::unit_test::data::make(WorldSizes), size)
+BOOST_DATA_TEST_CASE(group_anythingGoesWrong_noPassOnTwoMapsAndItGoesOn, boost::unit_test::data::make(SimulationSizes), size)
 {
     std::uint64_t switches = 0;
-    std::uint64_t vouched = 0;
+    std::uint64_t proofs = 0;
     for (int run = 0; run < size.runs; ++run) {
-        RankWorld world({.ranks = size.ranks}, static_cast<std::uint64_t>(run) + 1);
-        for (int event = 0; event < size.events && !world.fault(); ++event) {
-            world.step();
+        GroupSimulation simulation({.ranks = size.ranks}, static_cast<std::uint64_t>(run) + 1);
+        for (int event = 0; event < size.events && !simulation.fault(); ++event) {
+            simulation.step();
         }
-        BOOST_REQUIRE_MESSAGE(!world.fault(), "seed " << run + 1 << ": " << *world.fault());
-        BOOST_REQUIRE_MESSAGE(world.settles(), "seed " << run + 1 << ": the group does not go on");
-        switches += world.switches();
-        vouched += world.vouched();
+        BOOST_REQUIRE_MESSAGE(!simulation.fault(), "seed " << run + 1 << ": " << *simulation.fault());
+        BOOST_REQUIRE_MESSAGE(simulation.recovers(), "seed " << run + 1 << ": the group does not go on");
+        switches += simulation.switches();
+        proofs += simulation.proofs();
     }
     BOOST_TEST(switches > static_cast<std::uint64_t>(size.runs));
-    BOOST_TEST(vouched > 0U);
-    BOOST_TEST_MESSAGE(size << ": " << switches << " switches, " << vouched << " times on the others' word");
+    BOOST_TEST(proofs > 0U);
+    BOOST_TEST_MESSAGE(size << ": " << switches << " switches, " << proofs << " times on the others' word");
 }
 
 BOOST_AUTO_TEST_CASE(coordinator_takesOrdersForTheirEffect_splitsTheGroup)
 {
-    BOOST_TEST(faultyRuns(Mutant::BelievesOrders, {2, 300, 600}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::AssumesOrdersExecuted, {2, 300, 600}) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(successor_usesVersionsAgain_splitsTheGroup)
@@ -290,27 +290,27 @@
 
 BOOST_AUTO_TEST_CASE(coordinator_armsItsOwnRank_splitsTheGroup)
 {
-    BOOST_TEST(faultyRuns(Mutant::ArmsItself, {3, 4000, 2000}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::CoordinatorArmsOwnRank, {3, 4000, 2000}) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(deputy_forgetsAndVouches_splitsTheGroup)
 {
-    BOOST_TEST(faultyRuns(Mutant::ForgetfulDeputy, {3, 20000, 3000}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::PeerForgetsArm, {3, 20000, 3000}) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(changeThatUndoes_countsAsFresh_splitsTheGroup)
 {
-    BOOST_TEST(faultyRuns(Mutant::UndoneIsFresh, {3, 40000, 3000}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::UndoMarkedFresh, {3, 40000, 3000}) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(rankOutOfReach_isGuessedUnarmed_splitsTheGroup)
 {
-    BOOST_TEST(faultyRuns(Mutant::GuessesUnarmed, {3, 4000, 2000}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::AssumesUnarmed, {3, 4000, 2000}) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(agents_heedReplacedCoordinators_groupSplits)
 {
-    BOOST_TEST(faultyRuns(Mutant::DeafToTerms, {3, 2000, 2000}) > 0);
+    BOOST_TEST(faultyRuns(Mutant::IgnoresTerms, {3, 2000, 2000}) > 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
