--- a/libs/group/include/group/armedstateprover.h
+++ b/libs/group/include/group/armedstateprover.h
@@ -10,29 +10,28 @@
 namespace magnolia::group
 {
 
-/** What an agent remembers, since its process started, of the changes of map that it was told of. */
+/** Orders of map switches that an agent has received since its process started. */
 struct SwitchRecord {
-    std::uint64_t preparedVersion = 0; ///< Version that it was last told to prepare; 0: none.
-    bool isFresh = false; ///< No rank was armed or held when that change was begun.
-    std::optional<PeerArm> peerArm{}; ///< The last order to arm that it gave to another rank's engine.
-    std::uint64_t map = 0; ///< Version in use at its own rank.
+    std::uint64_t orderedVersion = 0; ///< Version that it was last ordered to prepare; 0: none.
+    bool isFresh = false; ///< No rank was armed or held when that switch began.
+    std::optional<PeerArm> peerArm{}; ///< The last order to arm that it sent to another rank's engine.
+    std::uint64_t map = 0; ///< Version in use on its own rank.
 };
 
 /**
- * Proves, from what all other agents remember, whether the rank of a coordinator that can't be reached any more is armed.
+ * Derives from the records of all other agents whether the rank of an unreachable coordinator is armed.
  *
- * An instance that freezes or loses its network amid a change of map leaves a group that is held, and an engine of which
- * nobody can say whether it is armed: releasing the pass could split the group, and waiting costs callers the whole outage.
- * But a coordinator's own rank is armed by another agent, and last of all. So if all others still remember the change in
- * progress, and none has given that order, that rank is not armed; if one has and the engine took it, it is. An agent that has
- * started again meanwhile remembers nothing, and then nothing is proved.
+ * If an instance freezes or loses its network during a map switch, the group stays held and it is unknown whether that instance's engine is armed. Releasing
+ * the pass could leave ranks on different maps, and waiting blocks callers for the whole outage. A coordinator's own rank, however, is armed by another agent
+ * and after all other ranks. If all other agents still have a record of the current switch and none has sent that order, the rank is not armed. If one has sent
+ * it and the engine accepted it, the rank is armed. An agent that has restarted has no record, and then nothing can be proven.
  *
- * Holds only for the coordinator of the term just before, and only for a change that was begun while no rank was armed: what
- * an earlier coordinator or an undone change left behind is not known to the others. A value type.
+ * Applies only to the coordinator of the preceding term, and only to a switch that began while no rank was armed: orders of earlier coordinators or of an
+ * undone switch are not in the records. A value type.
  *
  * @code
- * witness.heard(rank, memory);
- * if (const auto proof = witness.judge({.rank = 3, .size = 12, .epoch = 1, .term = 7})) { change.vouch(3, proof->armed, now); }
+ * prover.recordSwitch(rank, record);
+ * if (const auto proof = prover.prove({.rank = 3, .size = 12, .epoch = 1, .term = 7})) { change.setProvenState(3, proof->armed, now); }
  * @endcode
  */
 class ArmedStateProver
@@ -49,17 +48,17 @@
     }
 
     struct Query {
-        std::uint32_t rank = 0; ///< The one that can't be reached.
-        std::uint32_t size = 0; ///< Ranks of the group.
+        std::uint32_t rank = 0; ///< The unreachable rank.
+        std::uint32_t size = 0; ///< Number of ranks in the group.
         std::uint64_t epoch = 0;
-        std::uint64_t term = 0; ///< In which that rank's agent coordinated.
+        std::uint64_t term = 0; ///< Term in which the agent of that rank was the coordinator.
     };
 
     struct Proof {
-        std::optional<ArmedMap> armed{}; ///< Nothing: the rank is not armed.
+        std::optional<ArmedMap> armed{}; ///< Empty if the rank is not armed.
     };
 
-    /** @return nothing if nothing is proved. */
+    /** @return nothing if the state cannot be proven. */
     std::optional<Proof> prove(const Query &query) const;
 
 private:
--- a/libs/group/include/group/changepolicy.h
+++ b/libs/group/include/group/changepolicy.h
@@ -11,34 +11,37 @@
 {
 
 /**
- * Judges whether a map is uneven enough for a change to be looked for.
+ * Decides whether the load of a map is uneven enough to plan a switch to a better one.
  *
- * A change costs copies, makes passes longer while ranks copy, and keeps the next change waiting: one that only polishes the map is in the
- * way when demand shifts a moment later, for as long as a copy takes. While passes are short beside the pause that routes allow, nobody is served better by
- * a more even map, so that only an uneven one is changed; when passes come near it, each hundredth counts.
+ * A switch costs copies of experts, lengthens passes while ranks copy, and delays the next switch. A switch that brings little gain is therefore harmful if
+ * demand shifts just after it has begun, for as long as a copy takes. While passes are short compared to the pause that routes allow, a more even map does not
+ * improve latency, so only a clearly uneven map is changed. When pass times approach the allowed pause, every hundredth of load counts.
  *
- * Only copies that take longer than the rest of a change count: shorter ones keep the next change waiting for hardly longer. A value type.
+ * Only the part of the copy time that exceeds the rest of a switch matters: shorter copies hardly delay the next switch. A value type.
  *
  * @code
- * policy.reported(state.step, state.running > 0, now);
- * if (policy.wantsChange(ReplicaPlanner::load(map, demand) / sets)) { plan(); }
+ * policy.recordStep(state.step, state.runningRequests > 0, now);
+ * if (policy.needsChange(ReplicaPlanner::load(map, demand) / sets)) { planSwitch(); }
  * @endcode
  */
 class ChangePolicy
 {
 public:
     struct Options {
-        Duration pauseObjective{0}; ///< Longest pause that routes allow between events, one pass each; 0: none stated, each hundredth counts.
-        double balancedLoad = 1.06; ///< Most loaded rank against an even spread: no change could then save the least gain.
-        std::chrono::duration<double> copyTime{0}; ///< Of one expert to one rank: for so long a change keeps the next one waiting.
-        std::chrono::duration<double> switchOverhead{0.1}; ///< Of a change, besides copying: a copy that takes no longer is in nobody's way.
-        double tolerancePerSecond = 1.5; ///< By how much less even a map may be at ease, for each second that a copy takes beyond that.
-        double shortPassFraction = 0.55; ///< Of the pause objective that a pass may take to be short: the first one after a shift takes about twice as long.
+        Duration pauseObjective{0}; ///< Longest pause that routes allow between two events of a stream; each pass yields one event. 0: no objective, so every
+                                    ///< hundredth of load counts.
+        double balancedLoad = 1.06; ///< Load of the most loaded rank relative to an even spread, up to which no switch can reach the minimum gain.
+        std::chrono::duration<double> copyTime{0}; ///< Time to copy one expert to one rank; the next switch is delayed by as much.
+        /** Time that a switch takes besides copying. Copies that take no longer than this do not count as a delay. */
+        std::chrono::duration<double> switchOverhead{0.1};
+        double tolerancePerSecond = 1.5; ///< Additional load tolerated while passes are short, for each second of copy time beyond switchOverhead.
+        /** Passes below this fraction of the pause objective are short. The first pass after a shift of demand takes about twice as long. */
+        double shortPassFraction = 0.55;
     };
 
     explicit ChangePolicy(Options options) : options_(options) {}
 
-    /** The latest pass, as a rank reports it. @param isBusy requests are being answered; an idle group makes no passes. */
+    /** Records the last pass that a rank reports. @param isBusy whether requests are running; an idle group makes no passes. */
     void recordStep(std::uint64_t step, bool isBusy, BootTime now)
     {
         const bool isContinued = isBusy_ && step > step_;
@@ -53,7 +56,7 @@
         isBusy_ = isBusy;
     }
 
-    /** @param load of the most loaded rank, 1 where work is spread evenly; as a mean over sets. */
+    /** @param load of the most loaded rank as a mean over sets; 1 is an even spread. */
     bool needsChange(double load) const
     {
         const bool arePassesShort = passTime_ < options_.pauseObjective * options_.shortPassFraction;
@@ -61,20 +64,20 @@
         return load > options_.balancedLoad + (arePassesShort ? options_.tolerancePerSecond * blockedSeconds : 0);
     }
 
-    /** @return smoothed. */
+    /** @return the exponentially smoothed pass time. */
     std::chrono::duration<double, std::milli> passTime() const
     {
         return passTime_;
     }
 
 private:
-    // Reports come some 100 ms apart and tell of one to three passes: the latest third of a second counts most.
+    // Reports arrive about every 100 ms and cover one to three passes, so the latest third of a second has the most weight.
     static constexpr double SmoothingFactor = 0.3;
 
     Options options_;
     std::chrono::duration<double, std::milli> passTime_{0};
     std::uint64_t step_ = 0;
-    BootTime stepSeenAt_; ///< When that step was first reported.
+    BootTime stepSeenAt_; ///< When step_ was first reported.
     bool isBusy_ = false;
 };
 
--- a/libs/group/include/group/coordinatorterm.h
+++ b/libs/group/include/group/coordinatorterm.h
@@ -10,14 +10,14 @@
 {
 
 /**
- * @param read the row as the candidate read it. @param followed the highest term that it has followed.
- * @return the row to write in its place: its term is higher than both, and than all of the store's eras before.
+ * @param read the row as the candidate read it. @param followed the highest term that the candidate has followed.
+ * @return the row to write in its place. Its term is higher than both and than every term of the store's earlier eras.
  */
 CoordinatorRow nextCoordinatorRow(const CoordinatorRow &read, std::uint64_t followed, const std::string &holder);
 
 /**
- * @param writtenVersion of a write that was made under the condition of the row's version.
- * @return false if the store has returned from an older copy since the row was read: that version may have been given out again.
+ * @param writtenVersion version returned by a write that was conditional on the version of the row.
+ * @return false if the store was restored from an older copy after the row was read, since the row's version may then have been reused.
  */
 bool isInSameStoreEra(const CoordinatorRow &read, std::uint64_t writtenVersion);
 
--- a/libs/group/include/group/directaccesspolicy.h
+++ b/libs/group/include/group/directaccesspolicy.h
@@ -12,43 +12,42 @@
 {
 
 /**
- * Judges when a coordinator may speak with an engine itself, past an agent that has fallen silent.
+ * Decides when a coordinator may contact an engine directly because its agent is unresponsive.
  *
- * A group that is held stands still for as long as one agent can't be reached, e.g. since its instance is frozen, while the
- * engine beside it would answer. But an engine does not know terms: a coordinator that has been replaced without knowing it
- * could spoil its successor's switch. So engines are addressed directly only while all other agents say that they follow
- * this term, which they can say to one coordinator at a time, and what a silent rank's engine said counts for a release
- * only once all others have said so again. A value type.
+ * A held group makes no passes while one agent is unreachable, for instance because its process is frozen, although the engine itself would answer. Engines do
+ * not check terms, however, so a coordinator that has been replaced without noticing could corrupt its successor's switch. Engines are therefore contacted
+ * directly only while all other agents report that they follow this term, which they do for one coordinator at a time. The state read from an engine directly
+ * permits a release only after all other agents have reported again. A value type.
  *
  * @code
- * reach.heard(rank, now);
- * if (reach.isSilent(rank, now) && reach.mayAddress(now)) { readDirectly(rank); }
+ * policy.onAgentReport(rank, now);
+ * if (policy.isUnresponsive(rank, now) && policy.mayContactEngines(now)) { queryEngineState(rank); }
  * @endcode
  */
 class DirectAccessPolicy
 {
 public:
     struct Options {
-        Duration reportTimeout{400}; ///< Agents report about every 100 ms, and later while their instance is busy.
-        std::size_t ranksPerUnresponsive = 6; ///< Of so many ranks one may be silent; with more, it is rather this side that is cut off.
+        Duration reportTimeout{400}; ///< Agents report about every 100 ms, or less often while their instance is busy.
+        std::size_t ranksPerUnresponsive = 6; ///< One in this many ranks may be unresponsive. If more are, it is more likely that this coordinator is cut off.
     };
 
     explicit DirectAccessPolicy(Options options) : options_(options) {}
 
-    /** Forgets all, for a group of so many ranks. */
+    /** Discards all records and sets the number of ranks. */
     void reset(std::size_t ranks)
     {
         agentReportedAt_.assign(ranks, BootTime());
         engineQueriedAt_.assign(ranks, BootTime());
     }
 
-    /** The rank's agent reported under this term. */
+    /** Records a report of the rank's agent under this term. */
     void onAgentReport(std::uint32_t rank, BootTime now)
     {
         agentReportedAt_.at(rank) = now;
     }
 
-    /** The rank's engine answered a question of ours; the question was put at that time. */
+    /** Records an answer of the rank's engine to a direct query. @param queriedAt when the query was sent. */
     void onEngineAnswer(std::uint32_t rank, BootTime queriedAt)
     {
         engineQueriedAt_.at(rank) = queriedAt;
@@ -59,7 +58,7 @@
         return now - agentReportedAt_.at(rank) > options_.reportTimeout;
     }
 
-    /** All agents but this one follow this term, so no other coordinator can be at work. */
+    /** Whether all agents but one follow this term, so that no other coordinator can be active. */
     bool areOthersResponsive(std::uint32_t except, BootTime now) const
     {
         for (std::uint32_t rank = 0; rank < agentReportedAt_.size(); ++rank) {
@@ -70,7 +69,7 @@
         return !agentReportedAt_.empty();
     }
 
-    /** Engines of silent ranks may be addressed. */
+    /** Whether engines of unresponsive agents may be contacted directly. */
     bool mayContactEngines(BootTime now) const
     {
         const auto unresponsive =
@@ -78,7 +77,7 @@
         return unresponsive > 0 && static_cast<std::size_t>(unresponsive) * options_.ranksPerUnresponsive <= agentReportedAt_.size();
     }
 
-    /** A pass may be released: no agent is silent, or all others reported after the silent ones' engines were asked. */
+    /** Whether a pass may be released: no agent is unresponsive, or all others have reported after the engines of the unresponsive ones were queried. */
     bool mayReleasePass(BootTime now) const
     {
         BootTime lastQueried;
@@ -97,8 +96,8 @@
 
 private:
     Options options_;
-    std::vector<BootTime> agentReportedAt_; ///< When each rank's agent last reported.
-    std::vector<BootTime> engineQueriedAt_; ///< When each rank's engine was last asked directly.
+    std::vector<BootTime> agentReportedAt_; ///< By rank: when its agent last reported.
+    std::vector<BootTime> engineQueriedAt_; ///< By rank: when its engine was last queried directly.
 };
 
 } // namespace magnolia::group
--- a/libs/group/include/group/engineport.h
+++ b/libs/group/include/group/engineport.h
@@ -14,21 +14,21 @@
 namespace magnolia::group
 {
 
-/** How often each expert was chosen by this rank's requests since the rank started. */
+/** How often requests of this rank have chosen each expert since the rank started. */
 struct ExpertCounts {
     std::uint64_t epoch = 0;
-    std::vector<std::uint64_t> counts; ///< Set by set, each with all of its experts.
-    std::uint64_t incarnation = 0; ///< As of RankState.
+    std::vector<std::uint64_t> counts; ///< All experts of the first set, then all of the second, and so on.
+    std::uint64_t incarnation = 0; ///< Of the engine, as RankState::incarnation.
 };
 
-/** The experts that a rank holds in the map in use. */
+/** The experts that a rank holds under the map in use. */
 struct HeldExperts {
     std::uint64_t epoch = 0;
     std::uint64_t version = 0;
     std::vector<std::vector<std::uint16_t>> experts; ///< By set.
 };
 
-/** The engine that an agent stands beside. Calls call back exactly once, on the loop's thread, never from within. */
+/** Access to one engine. Each call invokes its callback exactly once, on the thread of the event loop and never before the call returns. */
 class EnginePort
 {
 public:
@@ -39,31 +39,31 @@
     virtual void sendOrder(const RankOrder &order, std::function<void(OrderOutcome)> done) = 0;
 };
 
-/** @return a port to the engine at an address, for a coordinator whose agent there has fallen silent. */
+/** Creates a port to the engine at an address, for direct access to another rank's engine. */
 using EngineDialer = std::function<std::unique_ptr<EnginePort>(const std::string &address)>;
 
-/** An engine of the service, as the platform's list shows it. */
+/** An engine of the service, as listed by the platform. */
 struct MemberAddress {
-    std::string id; ///< Of the engine's run.
-    std::string engineAddress; ///< "IP:PORT" of the engine itself.
-    std::string agentAddress; ///< "IP:PORT" where its agent takes links.
+    std::string id; ///< Identifies one run of the engine.
+    std::string engineAddress; ///< "IP:PORT" of the engine.
+    std::string agentAddress; ///< "IP:PORT" on which the agent accepts links.
 };
 
-/** Who coordinates a group: a row of the platform's store, changed only under the condition that it has not changed. */
+/** The coordinator of a group: a row of the platform's store that is only replaced if it has not changed since it was read. */
 struct CoordinatorRow {
-    std::uint64_t term = 0; ///< Grows with each coordinator; 0: nobody has taken it yet.
-    std::string holder; ///< Name of the instance.
-    std::uint64_t version = 0; ///< Of the row; compares across the store's returns from an older copy.
+    std::uint64_t term = 0; ///< Increases with each coordinator; 0: there was no coordinator yet.
+    std::string holder; ///< Name of the coordinator's instance.
+    std::uint64_t version = 0; ///< Version of the row, ordered also across restores of the store from an older copy.
 };
 
-/** What an agent needs of the platform's store. */
+/** Access of an agent to the platform's store. */
 class GroupStore
 {
 public:
     virtual ~GroupStore() = default;
     virtual void readCoordinator(const std::string &group, std::function<void(Result<CoordinatorRow>)> done) = 0;
 
-    /** Writes the next row in place of the one that was read, if that still stands. @return its version, or nothing if another was first. */
+    /** Replaces the row that was read by the next one if it has not changed. @return the version of the new row, or nothing if the row had changed. */
     virtual void replaceCoordinator(const std::string &group,
                                     const CoordinatorRow &read,
                                     const CoordinatorRow &next,
--- a/libs/group/include/group/expertdemand.h
+++ b/libs/group/include/group/expertdemand.h
@@ -12,22 +12,22 @@
 {
 
 /**
- * What a group's requests choose of its experts, as ranks report it; older choices count less.
+ * Demand for the experts of a group: the choices that ranks report, with exponential decay.
  *
- * Pure: time comes in. Not thread-safe.
+ * Takes the time as a parameter and does no I/O. Not thread-safe.
  *
  * @code
- * demand.took(counts, now); // with each report of a rank
+ * demand.addCounts(counts, now); // for each report of a rank
  * const auto shares = demand.shares(map.size());
  * @endcode
  */
 class ExpertDemand
 {
 public:
-    /** @param halfLife age at which a choice counts half. */
+    /** @param halfLife age at which the weight of a choice is one half. */
     explicit ExpertDemand(Duration halfLife) : halfLife_(halfLife) {}
 
-    /** @param counts choices since the rank's last report, set by set. */
+    /** @param counts choices since the previous report of the rank, set by set. */
     void addCounts(std::span<const std::uint64_t> counts, BootTime now);
 
     bool isEmpty() const
@@ -35,13 +35,13 @@
         return decayedCounts_.empty();
     }
 
-    /** @return each expert's part of its set's choices, by set. */
+    /** @return by set, the share of each expert in the choices of its set. */
     std::vector<std::vector<double>> shares(std::size_t sets) const;
 
 private:
     Duration halfLife_;
-    std::vector<double> decayedCounts_; ///< Decayed, set by set.
-    BootTime decayedAt_; ///< As of then.
+    std::vector<double> decayedCounts_; ///< Set by set, as of decayedAt_.
+    BootTime decayedAt_;
 };
 
 } // namespace magnolia::group
--- a/libs/group/include/group/grouptask.h
+++ b/libs/group/include/group/grouptask.h
@@ -17,36 +17,36 @@
 {
 
 struct GroupOptions {
-    std::string instance{}; ///< Name of this agent; unique.
-    std::string listenAddress{}; ///< "IP:PORT" for the coordinator's link.
+    std::string instance{}; ///< Unique name of this agent.
+    std::string listenAddress{}; ///< "IP:PORT" on which this agent accepts links from coordinators.
     wire::LinkOptions links{};
-    double interfaceBytesPerSecond = 0; ///< Of the instance's network interface; 0: not known, maps are told as fast as they can be.
-    Duration pollInterval{100}; ///< Between two looks at the engine; free from its own instance.
-    Duration switchPollInterval{30}; ///< The same while a change of map is in progress: each step of it waits for a report.
-    Duration coordinatorTimeout{700}; ///< Without a coordinator's word for so long another takes its place.
-    Duration heldCoordinatorTimeout{
-        250}; ///< The same for the agent whose rank holds a pass: its group stands still, and a coordinator sends a word each 60 ms then.
-    Duration demandHalfLife{200}; ///< Age at which a choice of an expert counts half.
-    Duration planInterval{100}; ///< Between two looks for a better map.
-    std::size_t expertsPerSet = 0; ///< In each set.
-    std::size_t maxExpertsPerRank = 0; ///< In each set; 0: read by the store's layout.
-    std::size_t maxCopiesPerSet = 4;
-    std::chrono::duration<double> copyTime{0.4}; ///< Of one expert to one rank.
+    double interfaceBytesPerSecond = 0; ///< Capacity of the instance's network interface; 0: unknown, maps are sent without a rate limit.
+    Duration pollInterval{100}; ///< Interval between two reads of the engine's state. Reads from the engine's own instance cost nothing.
+    Duration switchPollInterval{30}; ///< The same while a map switch is in progress, since each of its steps waits for a report.
+    Duration coordinatorTimeout{700}; ///< If no heartbeat or order arrives for this long, another agent becomes the coordinator.
+    /** The same for the agent whose rank holds a pass. The group makes no passes meanwhile, and the coordinator sends a heartbeat every 60 ms. */
+    Duration heldCoordinatorTimeout{250};
+    Duration demandHalfLife{200}; ///< Age at which the weight of an expert's choice is one half.
+    Duration planInterval{100}; ///< Interval between two attempts to plan a better map.
+    std::size_t expertsPerSet = 0; ///< Number of experts in each set.
+    std::size_t maxExpertsPerRank = 0; ///< Experts that a rank can hold in each set; 0: taken from the layout in the store.
+    std::size_t maxCopiesPerSet = 4; ///< Copies to one rank in one set that the engine accepts in one switch.
+    std::chrono::duration<double> copyTime{0.4}; ///< Time to copy one expert to one rank.
     /**
-     * For which ranks copy in one change of map, at one expert least; as long as the rest of a change takes. The most wanted
-     * replicas come first, and what comes later is chosen by newer demand.
+     * Time that each rank may spend on copying in one map switch; at least one expert is always copied. The default is as long as the rest of a switch takes.
+     * The most needed replicas are copied first, and later ones are chosen from newer demand.
      */
     Duration copyTimeBudget{100};
-    double minGain = 0.08;
-    Duration pauseObjective{0}; ///< Longest pause that routes allow between two events of a stream; 0: none stated.
+    double minGain = 0.08; ///< Smallest relative reduction of the load that is worth a switch.
+    Duration pauseObjective{0}; ///< Longest pause that routes allow between two events of a stream; 0: no objective.
 };
 
 /**
- * An agent's part in its engine's group: it looks at its engine, tells the coordinator, and carries out its commands; one
- * agent of the group is the coordinator, and changes the expert map as demand moves.
+ * Runs an agent in the group of its engine: polls the engine, reports to the coordinator and executes its commands. One agent of the group is the coordinator
+ * and changes the expert map when demand shifts.
  *
- * Who coordinates stands in a row of the store, which is written only when a coordinator has fallen silent; the row's
- * version is the term that commands carry. Lives on one event loop, all calls on its thread; the ports outlive it.
+ * The coordinator is recorded in a row of the store, which is written only when a coordinator has stopped sending heartbeats. The row contains the term that
+ * all commands carry. Runs on one event loop and must be called on its thread. The engine port and the store must outlive it.
  *
  * @code
  * auto task = GroupTask::start(loop, options, engine, dialEngine, store, metrics);
--- a/libs/group/include/group/mapswitch.h
+++ b/libs/group/include/group/mapswitch.h
@@ -13,65 +13,67 @@
 namespace magnolia::group
 {
 
-/** An order for one rank of the group. */
+/** An order and the rank that it is for. */
 struct AddressedOrder {
     std::uint32_t rank = 0;
     RankOrder order;
-    std::uint32_t senderRank = 0; ///< The rank whose instance gives it to the engine; the same, or another's for the loss of one instance not to matter.
+    /** The rank whose instance sends the order to the engine: the same rank, or another one so that the loss of one instance does not block the switch. */
+    std::uint32_t senderRank = 0;
 };
 
 /**
- * Brings a group from one expert map to the next so that no pass runs on two.
+ * Switches a group from one expert map to another so that no pass runs on two maps.
  *
- * Engines don't compare maps, an order without an answer may be carried out seconds later, and a hold never expires. So
- * nothing is believed but what ranks report, in this order:
+ * Engines do not compare their maps, an unanswered order may be executed seconds later, and a hold never expires. The switch therefore relies only on states
+ * that ranks report, and has these steps:
  *
- * 1. Prepare the map on every rank, until all report it.
- * 2. Hold a pass S somewhat ahead at one rank, until it reports the hold. From now on S can't begin.
- * 3. Arm every rank for S, until all report it. Then release S: all use the new map from S on.
- * 4. If some rank can't be armed in time: disarm all, and prepare the map in use under a newer version on all. A rank that
- *    reports that is not armed, and a late order to arm the older version finds nothing to arm. Only then release S.
+ * 1. Prepare the map on every rank until all ranks report it as prepared.
+ * 2. Hold a pass S a few passes ahead at one rank until that rank reports the hold. From then on S cannot begin.
+ * 3. Arm every rank for S until all ranks report it. Then release S: all ranks use the new map from S on.
+ * 4. If a rank cannot be armed in time, disarm all ranks and prepare the map in use under a newer version on all of them. A rank that reports this version as
+ * prepared is not armed, and a late order to arm the older version has no effect. Only then release S.
  *
- * One instance that freezes or loses its network must not leave the group held until it wakes, wherever it happens. So the pass
- * is held at another rank than the coordinator's, by an order from afar, and the coordinator's own rank is armed last, by
- * another agent: a successor can release the hold, and learns from the others whether that rank is armed (RankWitness).
+ * If any single instance freezes or loses its network, the group must not stay held until that instance recovers. The pass is therefore held at a rank other
+ * than the coordinator's, by an order sent directly to that engine, and the coordinator's own rank is armed last, by another agent. A successor can then
+ * release the hold and can learn from the other agents whether that rank is armed (ArmedStateProver).
  *
- * Late orders do no harm: to prepare, since versions are never used twice (term and count); to arm or hold, since they are
- * refused once the pass has begun; to release, since no pass is held twice. A hold that nobody waits for is released as
- * soon as no rank is armed or can become so. Ranks are disarmed only under a hold.
- * A successor takes up whatever the ranks report: it finishes step 3 or 4. A new epoch ends everything: the group forms
- * with map 0 and nothing prepared, armed or held.
+ * Late orders are harmless: a late prepare because versions (term and count) are never reused, a late arm or hold because engines reject it once the pass has
+ * begun, and a late release because no pass is held twice. A hold left by an earlier attempt is released as soon as no rank is armed or can become armed. Ranks
+ * are only disarmed under a hold. A successor continues from the states that ranks report and completes step 3 or 4. A new epoch ends every switch: the group
+ * forms with map 0 and nothing is prepared, armed or held.
  *
- * Pure: states and time come in, orders come out. Not thread-safe.
+ * Does no I/O: takes states and the time, and returns orders. Not thread-safe.
  *
  * @code
  * MapSwitch change({.term = term});
- * change.reported(state, now);
+ * change.onRankReport(state, now);
  * if (change.isIdle()) { change.begin(map, now); }
- * for (const AddressedOrder &order : change.due(now)) { send(order); }
+ * for (const AddressedOrder &order : change.takeDueOrders(now)) { dispatchOrder(order); }
  * @endcode
  */
 class MapSwitch
 {
 public:
     struct Options {
-        std::uint64_t term = 0; ///< Of this coordinator; no two have the same.
-        std::uint64_t stepsAhead = 2; ///< How far ahead of the last pass S is: time for holding and arming, so that nothing stalls.
-        Duration orderRetry{30}; ///< An order whose effect is not reported is given again; carried out twice it does no harm, and the group may stand still.
-        Duration prepareRetry{400}; ///< The same for a map, doubled with each try: it is bulky, and a link that is busy with it must not be given it again.
-        Duration acknowledgedRetry{
-            1200}; ///< For a rank whose agent has said that it was told the map: its engine is copying, or the agent asks it again itself.
-        Duration prepareLimit{6000}; ///< Then the map is given up: demand has moved on.
-        Duration armLimit{1200}; ///< Then the switch is undone: the group stands still meanwhile.
+        std::uint64_t term = 0; ///< Of this coordinator; unique.
+        std::uint64_t stepsAhead = 2; ///< Passes from the last one to S. Leaves time for holding and arming without stalling the group.
+        Duration orderRetry{30}; ///< Delay before an order is repeated if its effect was not reported. Short because the group may be held, and executing an
+                                 ///< order twice is harmless.
+        /** The same for a prepare order, doubled with each try: it carries a large map that may still be queued on the network interface. */
+        Duration prepareRetry{400};
+        /** The same for a rank whose agent has acknowledged the map: its engine is copying, or the agent itself repeats the order. */
+        Duration acknowledgedRetry{1200};
+        Duration prepareLimit{6000}; ///< Time after which preparing is abandoned, since demand has changed by then.
+        Duration armLimit{1200}; ///< Time after which the switch is undone, since the group makes no passes meanwhile.
     };
 
     enum class Phase : std::uint8_t {
-        Unknown, ///< Not all ranks of the present epoch have reported.
+        Unknown, ///< Not all ranks of the current epoch have reported.
         Idle,
         Preparing,
         Holding,
         Arming,
-        Releasing, ///< All are armed.
+        Releasing, ///< All ranks are armed.
         Undoing,
         UndoReleasing,
     };
@@ -80,31 +82,30 @@
 
     void onRankReport(const RankState &state, BootTime now);
 
-    /** The rank's agent says which version it was last told to prepare. */
+    /** Records the version that the rank's agent was last ordered to prepare, as the agent reports it. */
     void onPrepareAcknowledged(std::uint32_t rank, std::uint64_t version);
 
-    /** Begins a switch; only when idle. @param current experts in use, to fall back to. */
+    /** Begins a switch; must only be called when idle. @param current the map in use, to fall back to. */
     void begin(ExpertMap map, ExpertMap current, BootTime now);
 
-    /** @return orders to be given now. */
+    /** @return the orders to send now. */
     std::vector<AddressedOrder> takeDueOrders(BootTime now);
 
-    /** The rank beside the coordinator, from now on. */
+    /** Sets the rank on the coordinator's own instance. */
     void setOwnRank(std::uint32_t rank)
     {
         ownRank_ = rank;
     }
 
     /**
-     * For a rank that has not reported and can't be reached: what is proved of it. It gets no orders until it reports, and no
-     * switch can begin meanwhile.
+     * Sets the proven state of a rank that is unreachable and has not reported. The rank gets no orders, and no switch can begin, until it reports.
      */
     void setProvenState(std::uint32_t rank, std::optional<ArmedMap> armed, BootTime now);
 
-    /** @return the term of the coordinator that made a version. */
+    /** @return the term of the coordinator that created a version. */
     static std::uint64_t termOf(std::uint64_t version);
 
-    /** The map in use, in case a switch of a predecessor has to be undone. */
+    /** Sets the map in use, which is needed to undo a switch of a predecessor. */
     void setFallbackMap(ExpertMap current)
     {
         fallbackMap_ = std::move(current);
@@ -118,12 +119,12 @@
     {
         return phase_ == Phase::Idle;
     }
-    /** Idle, and all ranks have reported. */
+    /** Whether the switch is idle and all ranks have reported. */
     bool canBegin() const
     {
         return isIdle() && !provenRank();
     }
-    /** @return the rank whose state is proved and not reported. */
+    /** @return the rank whose state is proven but not reported. */
     std::optional<std::uint32_t> provenRank() const;
     std::uint64_t epoch() const
     {
@@ -133,27 +134,27 @@
     {
         return static_cast<std::uint32_t>(ranks_.size());
     }
-    /** @return the version that ranks are told to prepare now; 0: none. */
+    /** @return the version that ranks are being ordered to prepare; 0: none. */
     std::uint64_t versionToPrepare() const
     {
         return phase_ == Phase::Preparing ? version_ : phase_ == Phase::Undoing ? undoVersion_ : 0;
     }
-    std::uint64_t version() const ///< Of the map that is being switched to, or was last.
+    std::uint64_t version() const ///< Of the map of the current or, when idle, the last switch.
     {
         return version_;
     }
-    std::uint64_t lastStep() const; ///< Highest that any rank has begun.
+    std::uint64_t lastStep() const; ///< The highest pass that any rank has begun.
     const RankState *rank(std::uint32_t index) const;
 
 private:
     struct Member {
         std::optional<RankState> state;
-        bool isProven = false; ///< The state is what is proved of it, not reported.
-        BootTime lastOrderAt; ///< When it was last given an order.
+        bool isProven = false; ///< The state is proven, not reported.
+        BootTime lastOrderAt; ///< When the last order was sent to it.
         std::optional<RankOrderKind> lastOrderKind;
         std::uint64_t lastOrderVersion = 0;
-        std::uint32_t tries = 0; ///< Of the order last given.
-        std::uint64_t acknowledgedVersion = 0; ///< Version that its agent was last told to prepare, as far as it said.
+        std::uint32_t tries = 0; ///< Repetitions of the last order.
+        std::uint64_t acknowledgedVersion = 0; ///< Version that its agent was last ordered to prepare, as reported by the agent.
     };
 
     void reset(const RankState &state);
@@ -179,13 +180,13 @@
     BootTime phaseSince_;
     std::uint64_t epoch_ = 0;
     std::vector<Member> ranks_;
-    std::uint64_t versionCount_ = 0; ///< Versions made in this term.
+    std::uint64_t versionCount_ = 0; ///< Versions created in this term.
     std::uint64_t version_ = 0;
     std::uint64_t undoVersion_ = 0;
     std::uint64_t switchStep_ = 0; ///< S
-    std::uint64_t lastUsedStep_ = 0; ///< Highest that was ever S, here or, as far as can be, under a predecessor.
-    std::optional<std::uint32_t> ownRank_; ///< Unknown at first; orders are then given by each rank's own agent.
-    std::uint32_t holder_ = 0; ///< In the switch in progress.
+    std::uint64_t lastUsedStep_ = 0; ///< Highest pass ever used as S, by this coordinator or possibly by a predecessor.
+    std::optional<std::uint32_t> ownRank_; ///< Until it is known, each rank's own agent sends the orders.
+    std::uint32_t holder_ = 0; ///< Rank that holds S in the current switch.
     SharedMap map_;
     SharedMap fallbackMap_;
 };
--- a/libs/group/include/group/replicaplanner.h
+++ b/libs/group/include/group/replicaplanner.h
@@ -12,28 +12,27 @@
 namespace magnolia::group
 {
 
-/** A map that is worth changing to. */
+/** A map that is worth switching to. */
 struct ReplicaPlan {
     ExpertMap map;
-    std::size_t copies = 0; ///< Experts that ranks have to take on, in all.
-    double loadBefore = 0; ///< Sum over sets of the most loaded rank's work, where an even spread of a set has 1.
+    std::size_t copies = 0; ///< Total number of experts that ranks have to copy.
+    double loadBefore = 0; ///< Sum over sets of the most loaded rank's work; 1 for each set with an even spread.
     double loadAfter = 0;
 };
 
 /**
- * Works out which experts to hold more often, and where, in one change of map.
+ * Plans which experts get additional replicas, and on which ranks, in one map switch.
  *
- * All ranks of a group run a pass together, and in each set the most loaded rank is waited for: what counts is the sum
- * over sets of the highest load. Takes the change that relieves the most loaded rank most, one after the other: a further
- * replica of one of its experts on another rank, in a free place or in that of an expert that others hold too; the same in place
- * of its own; or that it leaves the expert to the others that hold it. Copies cost time and ranks copy side by side, so what is
- * bounded is the number of copies of each rank.
+ * All ranks of a group run each pass together and in each set wait for the most loaded rank, so the cost is the sum over sets of the highest load. The planner
+ * is greedy: it repeatedly applies the change that relieves the most loaded rank most. A change adds a replica of one of that rank's experts on another rank,
+ * if necessary in place of an expert that has further replicas; moves the expert to the other rank in the same way; or drops the expert if other ranks hold it
+ * too. Copies take time and ranks copy in parallel, so the number of copies is limited for each rank.
  *
- * A rank that works at a slower pace takes longer for the same work, and all wait for it: its work counts by its pace, so that
- * it is left with little, or no, experts, and gets them back as its pace recovers. A value type.
+ * A slow rank takes longer for the same work, and all ranks wait for it. Its work is weighted by its pace, so that it keeps few or no experts and gets them
+ * back when its pace recovers. A value type.
  *
  * @code
- * const ReplicaPlanner planner({.placesPerRank = 11, .mostNewPerSet = 4, .mostNewPerRank = 3, .leastGain = 0.1});
+ * const ReplicaPlanner planner({.maxExpertsPerRank = 11, .maxCopiesPerSet = 4, .maxCopiesPerRank = 3, .minGain = 0.1});
  * if (const auto plan = planner.plan(map, shares)) { begin(plan->map); }
  * @endcode
  */
@@ -41,22 +40,22 @@
 {
 public:
     struct Options {
-        std::size_t maxExpertsPerRank = 0; ///< In each set.
-        std::size_t maxCopiesPerSet = 0; ///< Copies of one rank in one set that the engine takes in one change.
-        std::size_t maxCopiesPerRank = 0; ///< Copies of one rank in all: bounds the time that a change takes.
-        double minGain = 0.05; ///< Least relative fall of the load for which a change is worth its copies.
+        std::size_t maxExpertsPerRank = 0; ///< Experts that a rank can hold in each set.
+        std::size_t maxCopiesPerSet = 0; ///< Copies to one rank in one set that the engine accepts in one switch.
+        std::size_t maxCopiesPerRank = 0; ///< Copies to one rank in all sets; limits the duration of a switch.
+        double minGain = 0.05; ///< Smallest relative reduction of the load that is worth a switch.
     };
 
     explicit ReplicaPlanner(Options options) : options_(options) {}
 
     /**
-     * @param shares by set, each expert's part of the set's work.
-     * @param paces by rank, how many times as long as usual it takes; 1 where none is given.
-     * @return nothing if no change is worth it.
+     * @param shares by set, the share of each expert in the work of the set.
+     * @param paces by rank, its time for the same work relative to normal; 1 if missing.
+     * @return nothing if no switch is worthwhile.
      */
     std::optional<ReplicaPlan> plan(const ExpertMap &current, std::span<const std::vector<double>> shares, std::span<const double> paces = {}) const;
 
-    /** @return sum over sets of the slowest rank's time; 1 for each set with an even spread and no slow rank. */
+    /** @return the sum over sets of the slowest rank's time; 1 for each set with an even spread and no slow rank. */
     static double load(const ExpertMap &map, std::span<const std::vector<double>> shares, std::span<const double> paces = {});
 
 private:
