--- a/libs/group/benchmarks/coordinatorcost.cpp
+++ b/libs/group/benchmarks/coordinatorcost.cpp
@@ -1,5 +1,5 @@
-// Prints what a coordinator does for one change of map, and what it does for one report of a rank, by size of the group: the
-// processor time of each part, and the bytes that one agent is told.
+// Measures the cost of one map switch and of one rank report for a coordinator, by group size: the processor time of each part, and the bytes sent to one
+// agent.
 #include "group/replicaplanner.h"
 #include "mapcodec.h"
 #include "mapencoder.h"
@@ -22,12 +22,12 @@
 struct Shape {
     std::size_t ranks = 0;
     std::size_t sets = 0;
-    std::size_t experts = 96; ///< In each set.
-    std::size_t places = 0; ///< Of each rank in each set.
-    std::size_t copiesPerRank = 1; ///< In one change of map.
+    std::size_t experts = 96; ///< Number of experts in each set.
+    std::size_t places = 0; ///< Experts that a rank can hold in each set.
+    std::size_t copiesPerRank = 1; ///< Copies in one map switch.
 };
 
-/** The map that a group forms with: experts in turn. */
+/** The map that a group forms with: experts are assigned round-robin. */
 ExpertMap firstMap(const Shape &shape)
 {
     ExpertMap map(shape.sets, std::vector<std::vector<std::uint16_t>>(shape.ranks));
@@ -39,7 +39,7 @@
     return map;
 }
 
-/** Popularity falls with the rank of an expert in each set's own order, as choices of experts do. */
+/** Zipf-like demand: the share of an expert falls with its position in an order that differs by set. */
 std::vector<std::vector<double>> demandOf(const Shape &shape)
 {
     std::vector<std::vector<double>> demand(shape.sets, std::vector<double>(shape.experts));
--- a/libs/group/src/armedstateprover.cpp
+++ b/libs/group/src/armedstateprover.cpp
@@ -12,7 +12,7 @@
     std::uint64_t latestVersion = 0;
     std::uint64_t mapInUse = 0;
     for (const auto &[rank, record] : records_) {
-        latestVersion = std::max(latestVersion, record.preparedVersion);
+        latestVersion = std::max(latestVersion, record.orderedVersion);
         mapInUse = std::max(mapInUse, record.map);
     }
     if (MapSwitch::termOf(latestVersion) != query.term) {
@@ -25,18 +25,18 @@
             continue;
         }
         const auto found = records_.find(rank);
-        if (found == records_.end() || found->second.preparedVersion != latestVersion || !found->second.isFresh) {
+        if (found == records_.end() || found->second.orderedVersion != latestVersion || !found->second.isFresh) {
             return std::nullopt;
         }
         const auto &order = found->second.peerArm;
-        // An order for a version that is in use was carried out, and its pass has begun.
+        // An order for a version that is in use was executed, and its pass has begun.
         if (!order || order->rank != query.rank || order->epoch != query.epoch || order->version <= mapInUse) {
             continue;
         }
         if (order->isAccepted && order->version == latestVersion) {
             armed = ArmedMap{.version = order->version, .step = order->step};
         } else {
-            isUnknown = true; // It may have been carried out, or may be later.
+            isUnknown = true; // The order may have been executed or may still be.
         }
     }
     if (isUnknown && !armed) {
--- a/libs/group/src/bulkpacer.h
+++ b/libs/group/src/bulkpacer.h
@@ -11,27 +11,27 @@
 {
 
 /**
- * Says when a bulky message may be sent, so that short urgent ones never wait behind more than a few milliseconds of it.
+ * Rate limiter for large messages, so that short urgent messages wait for at most a few milliseconds of them.
  *
- * All links of an instance share one network interface, which sends in the order of arrival. A map told to each agent of a large group at once keeps it
- * busy for longer than agents wait for a coordinator's next word: they take it for lost, another takes its place, and tells all a map again. So bulk takes
- * a part of the interface only, a piece at a time. A value type.
+ * All links of an instance share one network interface, which sends in FIFO order. Sending a map to every agent of a large group at once would occupy it for
+ * longer than the agents' coordinator timeout: they would consider the coordinator lost, and its successor would send a map to all of them again. Large
+ * messages therefore use only a part of the capacity, in small bursts. A value type.
  *
  * @code
- * while (!queue.empty() && pacer.take(queue.front().size(), now)) { send(queue.pop()); }
+ * while (!queue.empty() && pacer.tryConsume(queue.front().size(), now)) { send(queue.pop()); }
  * @endcode
  */
 class BulkPacer
 {
 public:
     struct Options {
-        double bytesPerSecond = 0; ///< That bulk may take; 0: no bound.
-        Duration burst{20}; ///< As much as that time allows may go at once.
+        double bytesPerSecond = 0; ///< Rate limit for large messages; 0: no limit.
+        Duration burst{20}; ///< Messages for this much time may be sent at once.
     };
 
     explicit BulkPacer(Options options) : options_(options) {}
 
-    /** @return whether a message of this size may be sent now, and counts it if so. */
+    /** Consumes capacity for a message. @return false if the message may not be sent yet. */
     bool tryConsume(std::size_t bytes, BootTime now)
     {
         if (options_.bytesPerSecond <= 0) {
@@ -41,14 +41,14 @@
         if (idleAt_ > now) {
             return false;
         }
-        const std::chrono::duration<double> sendTime(static_cast<double>(bytes) / options_.bytesPerSecond);
-        idleAt_ += std::chrono::duration_cast<BootClock::duration>(sendTime);
+        const std::chrono::duration<double> transmissionTime(static_cast<double>(bytes) / options_.bytesPerSecond);
+        idleAt_ += std::chrono::duration_cast<BootClock::duration>(transmissionTime);
         return true;
     }
 
 private:
     Options options_;
-    BootTime idleAt_; ///< When all that was taken will have been sent.
+    BootTime idleAt_; ///< When the interface will have sent all consumed bytes.
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/coordinator.cpp
+++ b/libs/group/src/coordinator.cpp
@@ -12,32 +12,32 @@
 namespace
 {
 
-// While a switch is in progress orders have to be repeated soon; a tick costs little beside that.
+// Orders have to be repeated soon while a switch is in progress; the cost of an update is small in comparison.
 constexpr Duration SwitchUpdateInterval{20};
 constexpr Duration IdleUpdateInterval{100};
-// Well below the patience after which another takes over.
+// Well below GroupOptions::coordinatorTimeout, after which another agent takes over.
 constexpr Duration HeartbeatInterval{200};
 
-// While the group is held whoever holds it takes over much sooner than usual (GroupOptions::heldPatience).
+// While the group is held, the agent of the holding rank takes over much sooner than usual (GroupOptions::heldCoordinatorTimeout).
 constexpr Duration SwitchHeartbeatInterval{60};
 
-// Agents that can be reached report within some tens of milliseconds to a new coordinator.
+// Reachable agents report to a new coordinator within some tens of milliseconds.
 constexpr Duration ProofDelay{120};
 
-// The list of members is read again, while a rank is missing, and otherwise now and then: the calls are priced.
+// Intervals between reads of the member list, while a rank is missing and otherwise. Calls to the platform's store are billed.
 constexpr Duration IncompleteRefreshInterval{1000};
 constexpr Duration RefreshInterval{15000};
 
-// An agent that was just dialled reports within some tens of milliseconds.
+// A newly dialled agent reports within some tens of milliseconds.
 constexpr Duration FirstReportTimeout{250};
 
-// Of the network interface, for maps: the rest is for heartbeats, orders and reports, and for the other processes of the instance.
+// Part of the network interface used for maps. The rest is for heartbeats, orders, reports and other processes of the instance.
 constexpr double BulkFraction = 0.5;
 
-// While maps wait for the interface.
+// Update interval while maps wait for the pacer.
 constexpr Duration BulkUpdateInterval{10};
 
-// Of an order besides its map, with all headers.
+// Size of an order without its map, in bytes, including all headers.
 constexpr std::size_t MessageOverhead = 150;
 
 std::size_t copiesPerSwitch(const GroupOptions &options)
@@ -98,7 +98,7 @@
         if (members) {
             updateMembers(*members);
         } else {
-            log()->warn("The members can't be read cause={}", members.error().detail);
+            log()->warn("Cannot read the list of members cause={}", members.error().detail);
         }
     });
 }
@@ -130,7 +130,7 @@
         }
     };
     callbacks.onDown = [](const Failure &) {};
-    callbacks.onPeerLost = [id](const Failure &failure) { log()->info("Agent lost id={} cause={}", id, failure.detail); };
+    callbacks.onPeerLost = [id](const Failure &failure) { log()->info("Connection to agent lost id={} cause={}", id, failure.detail); };
     members_[id].link = wire::LinkDialer::dial(loop_, member.agentAddress, options_.links, std::move(callbacks));
 }
 
@@ -153,12 +153,12 @@
     }
     if (report.term > term_) {
         isSuperseded_ = true;
-        log()->info("Overtaken term={} by={}", term_, report.term);
+        log()->info("Superseded by a higher term term={} by={}", term_, report.term);
         callbacks_.onSuperseded();
         return;
     }
     if (report.term < term_) {
-        return; // Not yet heard of us: a rival's commands could still reach it.
+        return; // The agent does not follow this term yet and could still execute a rival's commands.
     }
     const BootTime now = BootClock::now();
     switch_.onRankReport(toRankState(report), now);
@@ -194,7 +194,7 @@
     }
     const auto counts = decodeCounts(report.counts);
     if (!counts) {
-        log()->warn("Counts can't be read rank={} cause={}", report.rank, counts.error().detail);
+        log()->warn("Cannot decode expert counts rank={} cause={}", report.rank, counts.error().detail);
         return;
     }
     demand_.addCounts(*counts, BootClock::now());
@@ -206,7 +206,7 @@
     return phase != MapSwitch::Phase::Unknown && phase != MapSwitch::Phase::Idle && phase != MapSwitch::Phase::Preparing;
 }
 
-/** Asks engines whose agents are silent: a held group must not wait for an agent. */
+/** Queries the engines of unresponsive agents directly, so that a held group need not wait for an agent. */
 void Coordinator::queryUnresponsiveEngines(BootTime now)
 {
     const bool isNeeded = isSwitchInProgress() || switch_.phase() == MapSwitch::Phase::Unknown;
@@ -220,7 +220,7 @@
     }
 }
 
-/** Its agent has been silent, or was never heard though there was time for it. */
+/** Whether the agent has stopped reporting or has not sent its first report in time. */
 bool Coordinator::isAgentUnresponsive(const Member &member, BootTime now) const
 {
     return member.rank ? accessPolicy_.isUnresponsive(*member.rank, now) : now - member.dialledAt > FirstReportTimeout;
@@ -229,7 +229,7 @@
 void Coordinator::queryEngineState(const std::string &id, BootTime now)
 {
     Member &member = members_[id];
-    log()->debug("Agent silent, its engine is asked id={}", id);
+    log()->debug("Agent unresponsive, querying its engine id={}", id);
     member.isEngineQueryPending = true;
     engineOf(member).readState([this, id, now, alive = std::weak_ptr<bool>(alive_)](Result<RankState> state) {
         if (alive.expired() || !members_.contains(id)) {
@@ -239,7 +239,7 @@
         if (state) {
             handleEngineState(id, *state, now);
         } else {
-            log()->info("Engine beside a silent agent does not answer id={} cause={}", id, state.error().detail);
+            log()->info("Engine of an unresponsive agent did not answer id={} cause={}", id, state.error().detail);
         }
     });
 }
@@ -326,7 +326,8 @@
     }
 }
 
-/** Engines know no terms: one that has been replaced without knowing it could hold a successor's passes. */
+/** Sends an order directly to a responsive rank's engine. Engines do not check terms, so a coordinator that has been replaced without noticing could hold a
+ * successor's passes; therefore only while all other agents follow this term. */
 void Coordinator::sendToEngine(std::uint32_t rank, const RankOrder &order)
 {
     if (!ownRank_ || !accessPolicy_.areOthersResponsive(*ownRank_, BootClock::now())) {
@@ -334,13 +335,13 @@
     }
     for (auto &[id, member] : members_) {
         if (member.rank == rank && member.link->isUp()) {
-            engineOf(member).sendOrder(order, [](OrderOutcome) {}); // What it did is read from the engine.
+            engineOf(member).sendOrder(order, [](OrderOutcome) {}); // The effect is read from the engine's state.
             return;
         }
     }
 }
 
-/** Another agent arms the rank beside this one, and remembers that it did. */
+/** Has another agent send the order to this agent's own engine, which that agent records (SwitchRecord::peerArm). */
 void Coordinator::sendThroughPeer(std::uint32_t peerRank, const RankOrder &order)
 {
     wire::RankCommand command = makeCommand(order);
@@ -362,11 +363,15 @@
             continue;
         }
         if (isSwitchInProgress() && member.engine != nullptr && accessPolicy_.isUnresponsive(rank, now) && accessPolicy_.mayContactEngines(now)) {
-            log()->info("Order given past a silent agent rank={} kind={} version={} step={}", rank, toString(order.kind), order.version, order.step);
-            member.engine->sendOrder(order, [](OrderOutcome) {}); // What it did is read from the engine.
+            log()->info("Order sent directly to the engine of an unresponsive agent rank={} kind={} version={} step={}",
+                        rank,
+                        toString(order.kind),
+                        order.version,
+                        order.step);
+            member.engine->sendOrder(order, [](OrderOutcome) {}); // The effect is read from the engine's state.
             return;
         }
-        // An engine that was restarted has a second entry of the same rank; the earlier one's link is down.
+        // A restarted engine has a second entry with the same rank; the link of the earlier entry is down.
         if (member.link->isUp()) {
             if (order.kind == RankOrderKind::Prepare) {
                 enqueueBulk(id, order);
@@ -378,7 +383,7 @@
     }
 }
 
-/** One that still waits for the pacer is not queued again: with each retry the queue would only grow. */
+/** Enqueues an order unless it is still waiting for the pacer; otherwise each retry would lengthen the queue. */
 void Coordinator::enqueueBulk(const std::string &member, const RankOrder &order)
 {
     const bool isQueued = std::any_of(
@@ -388,13 +393,13 @@
     }
 }
 
-/** Tells maps as fast as the pacer allows. */
+/** Sends queued maps as fast as the pacer allows. */
 void Coordinator::sendBulk(BootTime now)
 {
     while (!bulkQueue_.empty()) {
         const BulkOrder &next = bulkQueue_.front();
         const auto member = members_.find(next.member);
-        // A change that was given up or got further meanwhile needs them no more.
+        // The order is obsolete if its switch was abandoned or has progressed.
         const bool isWanted = member != members_.end() && next.order.version == switch_.versionToPrepare();
         if (isWanted) {
             const MapEncoder::Encoding encoding = mapEncoder_.encode(next.order, member->second.knownMap);
@@ -425,7 +430,7 @@
     return *member.engine;
 }
 
-/** Lets a held group go on without the rank of a predecessor that can't be reached, if the others' word proves its state. */
+/** If only the predecessor's rank is unreachable, sets its state from the records of the other agents, so that a held group can be released. */
 void Coordinator::applyPredecessorProof(BootTime now)
 {
     const bool mayProve = switch_.phase() == MapSwitch::Phase::Unknown && predecessor_.term > 0 && now - startedAt_ >= ProofDelay;
@@ -435,7 +440,7 @@
     for (std::uint32_t rank = 0; rank < switch_.size(); ++rank) {
         const bool isHeard = switch_.rank(rank) != nullptr;
         if (isHeard == (rank == predecessor_.rank)) {
-            return; // It has reported, or another has not.
+            return; // The predecessor's rank has reported, or another rank has not.
         }
     }
     const auto proof = prover_.prove({.rank = predecessor_.rank, .size = switch_.size(), .epoch = switch_.epoch(), .term = predecessor_.term});
@@ -443,12 +448,12 @@
         return;
     }
     log()->info(
-        "The others prove the state of a rank that can't be reached rank={} armed={} term={}", predecessor_.rank, proof->armed.has_value(), predecessor_.term);
+        "State of the unreachable rank proven by the other agents rank={} armed={} term={}", predecessor_.rank, proof->armed.has_value(), predecessor_.term);
     switch_.setProvenState(predecessor_.rank, proof->armed, now);
     refreshMap();
 }
 
-/** @return nothing while ranks report different versions. Joined only when a rank's experts changed: reports come often. */
+/** @return nothing while ranks report different versions. Reports are frequent, so the map is assembled only when a rank's experts have changed. */
 const std::optional<ExpertMap> &Coordinator::currentMap()
 {
     if (assembler_.takeChanged()) {
--- a/libs/group/src/coordinator.h
+++ b/libs/group/src/coordinator.h
@@ -30,20 +30,20 @@
 {
 
 /**
- * The coordinator's side of one term: links to all agents of the group, demand, and changes of the map.
+ * Coordinates a group during one term: keeps links to all agents, collects demand and switches maps.
  *
- * Owned by the agent that holds the term; destroyed when it loses it. On its loop's thread.
+ * Owned by the agent that holds the term and destroyed when the term ends. Must be called on the thread of the event loop.
  */
 class Coordinator
 {
 public:
-    /** Who coordinated before, if it is known. */
+    /** The previous coordinator, if known. */
     struct Predecessor {
-        std::uint64_t term = 0; ///< 0: not known.
+        std::uint64_t term = 0; ///< 0: unknown.
         std::uint32_t rank = 0;
     };
 
-    /** What one coordinator begins with. */
+    /** Term of one coordinator. */
     struct Term {
         std::string group;
         std::uint64_t number = 0;
@@ -51,8 +51,8 @@
     };
 
     struct Callbacks {
-        std::function<void(const RankOrder &)> sendToOwnEngine{}; ///< For the engine beside this agent.
-        std::function<void()> onSuperseded{}; ///< A higher term was heard of; may destroy this behind the callback.
+        std::function<void(const RankOrder &)> sendToOwnEngine{}; ///< Sends an order to the engine of this agent.
+        std::function<void()> onSuperseded{}; ///< Called when an agent reports a higher term. The coordinator may be destroyed after the callback returns.
     };
 
     Coordinator(event_base *loop,
@@ -77,15 +77,15 @@
         std::unique_ptr<wire::LinkDialer> link;
         std::optional<std::uint32_t> rank;
         std::string engineAddress;
-        std::unique_ptr<EnginePort> engine; ///< Spoken to only while the agent is silent.
-        bool isEngineQueryPending = false; ///< An answer of the engine is awaited.
+        std::unique_ptr<EnginePort> engine; ///< Direct access; created on first use.
+        bool isEngineQueryPending = false; ///< A direct query to the engine is in progress.
         BootTime dialledAt;
-        std::uint64_t knownMap = 0; ///< Version of the map in use, if its agent says that it was told that one.
+        std::uint64_t knownMap = 0; ///< Version of the map in use, if the agent reports that it has that map.
     };
 
     /** An order that carries a map. */
     struct BulkOrder {
-        std::string member; ///< Its id.
+        std::string member; ///< Id of the member.
         RankOrder order;
     };
 
@@ -127,19 +127,19 @@
     MapSwitch switch_;
     DirectAccessPolicy accessPolicy_;
     ArmedStateProver prover_;
-    BootTime startedAt_; ///< When this term began.
-    std::string ownEngine_; ///< Address of the engine beside this agent, once the list of members has told it.
+    BootTime startedAt_; ///< Start of this term.
+    std::string ownEngine_; ///< Address of the engine of this agent; empty until the member list has been read.
     ChangePolicy policy_;
     ReplicaPlanner planner_;
     MapEncoder mapEncoder_;
     BulkPacer pacer_;
-    std::deque<BulkOrder> bulkQueue_; ///< Waits for the pacer.
+    std::deque<BulkOrder> bulkQueue_; ///< Orders waiting for the pacer.
     std::optional<std::uint32_t> ownRank_;
-    std::map<std::string, Member> members_; ///< By the id of their engine's run.
-    std::set<std::string> otherGroupMembers_; ///< Ids of engines of other groups.
+    std::map<std::string, Member> members_; ///< By the id of the engine's run.
+    std::set<std::string> otherGroupMembers_; ///< Ids of members that belong to other groups.
     MapAssembler assembler_;
-    std::optional<std::uint64_t> epoch_; ///< Of held_ and reach_; nothing before the first report.
-    std::optional<ExpertMap> currentMap_; ///< Joined from held_.
+    std::optional<std::uint64_t> epoch_; ///< Epoch of assembler_, accessPolicy_ and prover_; empty before the first report.
+    std::optional<ExpertMap> currentMap_; ///< Assembled by assembler_.
     bool isSuperseded_ = false;
     ExpertDemand demand_;
     BootTime plannedAt_;
@@ -149,7 +149,7 @@
     observe::Counter &switches_;
     observe::Counter &copies_;
     http::Timer timer_;
-    http::Timer dropTimer_; ///< Drops links to agents of other groups, not under their own calls.
+    http::Timer dropTimer_; ///< Closes links to agents of other groups outside of their own callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/libs/group/src/coordinatorterm.cpp
+++ b/libs/group/src/coordinatorterm.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-// Coordinators of one era. With the era and the versions made of a term it stays below the integers that a JSON number holds exactly.
+// Bits for the coordinators of one era. Together with the era and the versions of a term, the result stays in the range of integers that a JSON number
+// represents exactly.
 constexpr unsigned TermBits = 24;
 
 } // namespace
--- a/libs/group/src/groupcodec.cpp
+++ b/libs/group/src/groupcodec.cpp
@@ -20,7 +20,7 @@
     }
     const ExpertMap *base = knownMaps.find(command.mapBase);
     if (base == nullptr) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "a change of a map that is not known: " + std::to_string(command.mapBase));
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "delta to an unknown map version: " + std::to_string(command.mapBase));
     }
     return applyMapDelta(*base, command.map);
 }
@@ -73,7 +73,7 @@
 
 void writeSwitchRecord(wire::RankReport &report, const SwitchRecord &record)
 {
-    report.toldVersion = record.preparedVersion;
+    report.toldVersion = record.orderedVersion;
     report.isToldFresh = record.isFresh;
     if (record.peerArm) {
         report.peerArmVersion = record.peerArm->version;
@@ -86,7 +86,7 @@
 
 SwitchRecord toSwitchRecord(const wire::RankReport &report)
 {
-    SwitchRecord record{.preparedVersion = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .map = report.map};
+    SwitchRecord record{.orderedVersion = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .map = report.map};
     if (report.peerArmVersion > 0) {
         record.peerArm = PeerArm{.rank = report.peerArmRank,
                                  .epoch = report.peerArmEpoch,
@@ -112,7 +112,7 @@
 Result<RankOrder> toOrder(const wire::RankCommand &command, const KnownMaps &knownMaps)
 {
     if (command.kind > static_cast<std::uint8_t>(RankOrderKind::Release)) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "no such kind of command");
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "unknown kind of command");
     }
     RankOrder order{.kind = static_cast<RankOrderKind>(command.kind), .epoch = command.epoch, .version = command.version, .step = command.step};
     order.isFresh = command.isFresh;
--- a/libs/group/src/groupcodec.h
+++ b/libs/group/src/groupcodec.h
@@ -20,10 +20,10 @@
 void writeSwitchRecord(wire::RankReport &report, const SwitchRecord &record);
 SwitchRecord toSwitchRecord(const wire::RankReport &report);
 
-/** Without the order's map, for which there are two forms. */
+/** Converts all but the order's map, which MapEncoder encodes. */
 wire::RankCommand toCommand(const RankOrder &order, std::string_view group, std::uint64_t term);
 
-/** @param known maps that were told, for a command that tells only what differs from one of them. */
+/** @param knownMaps maps received before, needed to decode a command that carries a delta to one of them. */
 Result<RankOrder> toOrder(const wire::RankCommand &command, const KnownMaps &knownMaps);
 
 } // namespace magnolia::group
--- a/libs/group/src/grouptask.cpp
+++ b/libs/group/src/grouptask.cpp
@@ -21,28 +21,28 @@
 namespace
 {
 
-// What a coordinator is told by all ranks together. All ranks' requests are alike, so that with many ranks or experts each
-// tells of its choices less often, and always of the latest.
+// Limit for the counts that all ranks together send to the coordinator. Requests are alike on all ranks, so in a large group each rank sends its counts less
+// often, and always the latest ones.
 constexpr double CountsPerSecond = 160'000;
 
 constexpr Duration ExpertsInterval{1000};
 
-// Agents take the place of a silent coordinator in turn, in the order of ranks behind it: each has this time to reach the others of the group
-// before the next one tries. Else all ask the store at once, and several take the place one after the other, each undoing what the last began.
+// Agents try to replace a lost coordinator in turn, in the order of ranks after it. Each has this time to reach the other agents before the next one tries.
+// Otherwise all would read the store at once, and several would become coordinator one after the other, each undoing the previous one's switch.
 constexpr Duration TurnInterval{250};
-constexpr std::uint32_t MaxTurns = 6; // Those behind wait for the same turn, and a random time more.
+constexpr std::uint32_t MaxTurns = 6; // All later ranks wait for this turn plus a random time.
 constexpr Duration MaxClaimJitter{400};
 
-// An engine beside its agent answers an order within some milliseconds. One without an answer may be carried out seconds later,
-// and the whole group waits for the last rank's copy, longer than for all others if only the coordinator noticed. Given again it does no harm: a
-// version is taken once.
+// An engine on the same instance answers an order within some milliseconds. An unanswered order may be executed seconds later, and the whole group waits for
+// the last rank's copy; repeating the order only on the coordinator's retry would delay it further. Repeating it is harmless because a version is accepted
+// once.
 constexpr Duration PrepareAnswerTimeout{50};
 constexpr std::uint32_t MaxPrepareTries = 4;
 
-// Connections to other ranks' engines that are kept: one for each coordinator that was followed lately.
+// Number of connections kept to other ranks' engines, one for each recent coordinator.
 constexpr std::size_t MaxPeerEngines = 4;
 
-// After an order reports are looked for more often: a copy of an expert takes some tenths of a second, the rest less.
+// Time after an order during which the engine is polled more often. Copying an expert takes some tenths of a second, other orders take less.
 constexpr Duration FastPollTime{1000};
 
 std::shared_ptr<spdlog::logger> log()
@@ -51,7 +51,7 @@
     return instance;
 }
 
-/** Whether a switch may go on by it: passes and load change all the time, and are told with the next report. */
+/** Whether a change of state can advance a map switch. Passes and load change constantly and can wait for the next regular report. */
 bool isRelevantToSwitch(const RankState &before, RankState now)
 {
     now.step = before.step;
@@ -123,35 +123,35 @@
     Random random_;
     http::Timer pollTimer_;
     http::Timer resignTimer_;
-    http::Timer prepareTimer_; ///< Runs while an order to prepare has no answer.
+    http::Timer prepareTimer_; ///< Runs while an order to prepare is unanswered.
     std::uint32_t prepareTries_ = 0;
     std::unique_ptr<wire::LinkListener> listener_;
-    std::map<std::uint64_t, std::unique_ptr<wire::Link>> links_; ///< To coordinators.
+    std::map<std::uint64_t, std::unique_ptr<wire::Link>> links_; ///< Links from coordinators.
     std::uint64_t lastLink_ = 0;
 
     std::optional<RankState> state_;
-    std::optional<ExpertCounts> lastCounts_; ///< As of the last report.
-    std::vector<std::uint64_t> newCounts_; ///< Choices between the last two looks; empty once they have been told.
+    std::optional<ExpertCounts> lastCounts_; ///< Counts at the last read.
+    std::vector<std::uint64_t> newCounts_; ///< Choices between the last two reads; empty once they have been sent.
     struct ReportedExperts {
         std::uint64_t epoch = 0;
         std::uint64_t version = 0;
         BootTime at{};
     };
 
-    RankOrder pendingPrepare_; ///< The order to prepare that was given last.
-    KnownMaps knownMaps_; ///< Maps that coordinators told.
-    SwitchRecord switchRecord_; ///< What a successor of the coordinator may ask of it.
-    std::map<std::string, std::unique_ptr<EnginePort>> peerEngines_; ///< By address: other ranks' that were armed from here.
-    Coordinator::Predecessor followedCoordinator_; ///< The coordinator last heeded.
+    RankOrder pendingPrepare_; ///< The last order to prepare.
+    KnownMaps knownMaps_; ///< Maps received from coordinators.
+    SwitchRecord switchRecord_; ///< Evidence for a successor of the coordinator, see ArmedStateProver.
+    std::map<std::string, std::unique_ptr<EnginePort>> peerEngines_; ///< Other ranks' engines that this agent has armed, by address.
+    Coordinator::Predecessor followedCoordinator_; ///< The coordinator whose command was executed last.
     HeldExperts heldExperts_;
     bool areHeldExpertsKnown_ = false;
-    ReportedExperts reportedExperts_; ///< In the last report that listed them.
-    std::uint64_t term_ = 0; ///< Highest heard of.
+    ReportedExperts reportedExperts_; ///< Experts listed in the last report that contained them.
+    std::uint64_t term_ = 0; ///< The highest known term.
     BootTime coordinatorHeardAt_;
-    BootTime orderedAt_; ///< When the engine was last given an order.
+    BootTime orderedAt_; ///< When the last order was sent to the engine.
     BootTime countsReadAt_;
     BootTime countsSentAt_;
-    const Duration claimJitter_; ///< Of this agent among those that have the last turn.
+    const Duration claimJitter_; ///< Additional delay of this agent if it has the last turn.
     bool isClaiming_ = false;
     CoordinatorRow lastRow_;
     std::unique_ptr<Coordinator> coordinator_;
@@ -181,14 +181,15 @@
     return {};
 }
 
-/** How long this agent waits for a coordinator's word before it takes its place. */
+/** Time without a heartbeat or order from a coordinator after which this agent tries to replace it. */
 Duration GroupTaskImpl::claimDelay() const
 {
     if (state_->heldStep) {
         return options_.heldCoordinatorTimeout;
     }
-    const std::uint32_t size = std::max(state_->size, 1U); // An engine may say anything of itself.
-    const std::uint32_t before = followedCoordinator_.term > 0 ? followedCoordinator_.rank + 1 : 0; // Counted from 1; 0: no coordinator was followed yet.
+    const std::uint32_t size = std::max(state_->size, 1U); // An engine may report any size, including 0.
+    // Rank of the last coordinator plus 1; 0: no coordinator was followed yet.
+    const std::uint32_t before = followedCoordinator_.term > 0 ? followedCoordinator_.rank + 1 : 0;
     const std::uint32_t turn = (state_->rank % size + size - before % size) % size;
     return options_.coordinatorTimeout + TurnInterval * std::min(turn, MaxTurns) + (turn < MaxTurns ? Duration(0) : claimJitter_);
 }
@@ -204,14 +205,14 @@
     }));
 }
 
-/** Whatever the state was read for. @return false if it is of an earlier run of the engine, and not believed. */
+/** Stores a state read from the engine. @return false if the state is of an earlier run of the engine and was discarded. */
 bool GroupTaskImpl::acceptState(const RankState &state)
 {
     if (state_ && state.incarnation < state_->incarnation) {
-        return false; // An answer that was overtaken by one of this run.
+        return false; // A late answer of the previous run.
     }
     if (state_ && state.incarnation != state_->incarnation) {
-        log()->info("The engine has started again incarnation={} before={}", state.incarnation, state_->incarnation);
+        log()->info("Engine restarted incarnation={} before={}", state.incarnation, state_->incarnation);
         areHeldExpertsKnown_ = false;
         lastCounts_.reset();
         newCounts_.clear();
@@ -227,7 +228,8 @@
         return;
     }
     if (state.isOpen && (!before || !before->isOpen)) {
-        // All agents see the group open at the same moment, most of them long without a coordinator's word.
+        // All agents see the group open at the same time, most of them long after the last heartbeat. Limits the elapsed time to coordinatorTimeout, so that
+        // the agents still take turns.
         coordinatorHeardAt_ = std::max(coordinatorHeardAt_, BootClock::now() - options_.coordinatorTimeout);
     }
     const bool hasChanged = !before || isRelevantToSwitch(*before, state);
@@ -252,20 +254,21 @@
 void GroupTaskImpl::handleCounts(const ExpertCounts &counts)
 {
     if (state_ && counts.incarnation < state_->incarnation) {
-        return; // Of the run before.
+        return; // Counts of the previous run.
     }
     const bool isContinued = lastCounts_ && lastCounts_->counts.size() == counts.counts.size() && lastCounts_->incarnation == counts.incarnation;
     newCounts_.assign(counts.counts.size(), 0);
     for (std::size_t index = 0; isContinued && index < counts.counts.size(); ++index) {
         const std::uint64_t before = lastCounts_->counts[index];
-        newCounts_[index] = counts.counts[index] >= before ? counts.counts[index] - before : counts.counts[index]; // Less: the engine is new.
+        // A lower count means that the engine has restarted.
+        newCounts_[index] = counts.counts[index] >= before ? counts.counts[index] - before : counts.counts[index];
     }
     lastCounts_ = counts;
 }
 
 void GroupTaskImpl::readHeldExpertsIfChanged()
 {
-    // Versions begin anew with each epoch.
+    // Versions restart with each epoch.
     if (areHeldExpertsKnown_ && heldExperts_.version == state_->mapVersion && heldExperts_.epoch == state_->epoch) {
         return;
     }
@@ -306,14 +309,14 @@
     }
 }
 
-/** Whether the next report lists the experts: if they changed, and now and then, as a coordinator may be new. */
+/** Whether the next report lists the experts: when they have changed, and periodically in case the coordinator is new. */
 bool GroupTaskImpl::areExpertsDue() const
 {
     const bool isChanged = reportedExperts_.epoch != heldExperts_.epoch || reportedExperts_.version != heldExperts_.version;
     return isChanged || BootClock::now() >= reportedExperts_.at + ExpertsInterval;
 }
 
-/** Whether the next report carries counts. */
+/** Whether the next report contains counts. */
 bool GroupTaskImpl::areCountsDue() const
 {
     const bool isAnyNew = std::any_of(newCounts_.begin(), newCounts_.end(), [](std::uint64_t count) { return count > 0; });
@@ -328,11 +331,11 @@
 {
     const bool isOfOtherGroup = state_ && command.group != state_->group;
     if (isOfOtherGroup || command.term < term_) {
-        sendReport(); // Tells it of the group, or of the higher term.
+        sendReport(); // Informs the sender of this agent's group or of the higher term.
         return;
     }
     if (command.term > term_) {
-        log()->info("Follows term={} before={}", command.term, term_);
+        log()->info("Following a new coordinator term={} before={}", command.term, term_);
         term_ = command.term;
         coordinator_.reset();
         reportedExperts_ = {};
@@ -342,7 +345,7 @@
     followedCoordinator_ = command.coordinator > 0 ? Coordinator::Predecessor{.term = term_, .rank = command.coordinator - 1} : Coordinator::Predecessor{};
     const auto order = toOrder(command, knownMaps_);
     if (!order) {
-        log()->warn("A command can't be read cause={}", order.error().detail);
+        log()->warn("Cannot decode a command cause={}", order.error().detail);
         return;
     }
     if (!command.peerEngine.empty()) {
@@ -352,13 +355,13 @@
     }
 }
 
-/** Arms the rank beside the coordinator, whose own word would be lost with its instance. */
+/** Arms the rank on the coordinator's instance. Its record of the order stays available if that instance is lost. */
 void GroupTaskImpl::armPeer(const RankOrder &order, const std::string &address, std::uint32_t rank)
 {
     const PeerArm given{.rank = rank, .epoch = order.epoch, .version = order.version, .step = order.step};
     const bool isRepeat = switchRecord_.peerArm && switchRecord_.peerArm->version == given.version && switchRecord_.peerArm->step == given.step;
     if (!isRepeat) {
-        switchRecord_.peerArm = given; // Before it is given: from now on it may be carried out.
+        switchRecord_.peerArm = given; // Recorded before the order is sent, since it may be executed from then on.
         sendReport();
     }
     if (peerEngines_.size() >= MaxPeerEngines && !peerEngines_.contains(address)) {
@@ -368,23 +371,26 @@
     if (engine == nullptr) {
         engine = dialEngine_(address);
     }
-    engine->sendOrder(
-        order, guarded<OrderOutcome>([this, given](OrderOutcome outcome) {
-            const bool isThis = switchRecord_.peerArm && switchRecord_.peerArm->version == given.version && switchRecord_.peerArm->step == given.step;
-            log()->debug(
-                "Armed for its coordinator rank={} version={} step={} accepted={}", given.rank, given.version, given.step, outcome == OrderOutcome::Accepted);
-            if (isThis && outcome == OrderOutcome::Accepted) {
-                switchRecord_.peerArm->isAccepted = true;
-                sendReport();
-            }
-        }));
+    engine->sendOrder(order, guarded<OrderOutcome>([this, given](OrderOutcome outcome) {
+                          const bool isThis =
+                              switchRecord_.peerArm && switchRecord_.peerArm->version == given.version && switchRecord_.peerArm->step == given.step;
+                          log()->debug("Order to arm the coordinator's rank answered rank={} version={} step={} accepted={}",
+                                       given.rank,
+                                       given.version,
+                                       given.step,
+                                       outcome == OrderOutcome::Accepted);
+                          if (isThis && outcome == OrderOutcome::Accepted) {
+                              switchRecord_.peerArm->isAccepted = true;
+                              sendReport();
+                          }
+                      }));
 }
 
 void GroupTaskImpl::executeOrder(const RankOrder &order)
 {
     if (order.kind == RankOrderKind::Prepare) {
         knownMaps_.add(order.version, order.map, state_ ? state_->mapVersion : 0);
-        switchRecord_.preparedVersion = order.version;
+        switchRecord_.orderedVersion = order.version;
         switchRecord_.isFresh = order.isFresh;
         pendingPrepare_ = order;
         prepareTries_ = 0;
@@ -396,9 +402,9 @@
 void GroupTaskImpl::retryPrepare()
 {
     if (++prepareTries_ >= MaxPrepareTries) {
-        return; // The coordinator tries again.
+        return; // The coordinator will repeat the order.
     }
-    log()->info("No answer to an order kind=prepare version={} try={}", pendingPrepare_.version, prepareTries_);
+    log()->info("Order not answered kind=prepare version={} try={}", pendingPrepare_.version, prepareTries_);
     prepareTimer_.start(PrepareAnswerTimeout);
     forwardOrder(pendingPrepare_);
 }
@@ -406,22 +412,24 @@
 void GroupTaskImpl::forwardOrder(const RankOrder &order)
 {
     orderedAt_ = BootClock::now();
-    engine_.sendOrder(
-        order, guarded<OrderOutcome>([this, kind = order.kind, version = order.version, step = order.step](OrderOutcome outcome) {
-            const bool isAnswered = outcome != OrderOutcome::Unknown;
-            if (isAnswered && kind == RankOrderKind::Prepare && version == pendingPrepare_.version) {
-                prepareTimer_.stop();
-            }
-            if (outcome != OrderOutcome::Accepted) {
-                log()->info(
-                    "Order kind={} version={} step={} outcome={}", toString(kind), version, step, outcome == OrderOutcome::Conflict ? "conflict" : "unknown");
-            }
-            engine_.readState(guarded<Result<RankState>>([this](Result<RankState> state) {
-                if (state && acceptState(*state)) {
-                    sendReport();
-                }
-            }));
-        }));
+    engine_.sendOrder(order, guarded<OrderOutcome>([this, kind = order.kind, version = order.version, step = order.step](OrderOutcome outcome) {
+                          const bool isAnswered = outcome != OrderOutcome::Unknown;
+                          if (isAnswered && kind == RankOrderKind::Prepare && version == pendingPrepare_.version) {
+                              prepareTimer_.stop();
+                          }
+                          if (outcome != OrderOutcome::Accepted) {
+                              log()->info("Order not accepted kind={} version={} step={} outcome={}",
+                                          toString(kind),
+                                          version,
+                                          step,
+                                          outcome == OrderOutcome::Conflict ? "conflict" : "unknown");
+                          }
+                          engine_.readState(guarded<Result<RankState>>([this](Result<RankState> state) {
+                              if (state && acceptState(*state)) {
+                                  sendReport();
+                              }
+                          }));
+                      }));
 }
 
 void GroupTaskImpl::claimTermIfSilent()
@@ -437,25 +445,25 @@
                                if (row) {
                                    handleRow(*row);
                                } else {
-                                   log()->warn("The coordinator's row can't be read cause={}", row.error().detail);
+                                   log()->warn("Cannot read the coordinator row cause={}", row.error().detail);
                                }
                            }));
 }
 
 void GroupTaskImpl::handleRow(const CoordinatorRow &row)
 {
-    // The term that was followed until now is the silent one's.
+    // The term followed until now belongs to the lost coordinator.
     const bool hasChanged = row.term != lastRow_.term && row.term != term_;
-    log()->info("No coordinator is heard of group={} row_term={} holder={} changed={}", state_->group, row.term, row.holder, hasChanged);
+    log()->info("No heartbeat from a coordinator group={} row_term={} holder={} changed={}", state_->group, row.term, row.holder, hasChanged);
     lastRow_ = row;
     if (hasChanged && row.term > 0 && row.holder != options_.instance) {
-        return; // Somebody has just taken it, and will be heard of soon.
+        return; // Another agent has just become coordinator and will send a heartbeat soon.
     }
     const CoordinatorRow next = nextCoordinatorRow(row, term_, options_.instance);
     store_.replaceCoordinator(
         state_->group, row, next, guarded<Result<std::optional<std::uint64_t>>>([this, row, next](Result<std::optional<std::uint64_t>> version) {
             if (!version) {
-                log()->warn("The coordinator's row can't be taken cause={}", version.error().detail);
+                log()->warn("Cannot write the coordinator row cause={}", version.error().detail);
             } else if (*version && isInSameStoreEra(row, **version) && next.term > term_) {
                 becomeCoordinator(next.term);
             }
@@ -466,20 +474,21 @@
 {
     term_ = term;
     reportedExperts_ = {};
-    log()->info("Coordinates group={} term={} before={}", state_->group, term, lastRow_.holder);
+    log()->info("Became coordinator group={} term={} before={}", state_->group, term, lastRow_.holder);
     const auto predecessor = followedCoordinator_.term == lastRow_.term ? followedCoordinator_ : Coordinator::Predecessor{};
-    coordinator_ = std::make_unique<Coordinator>(loop_,
-                                                 options_,
-                                                 Coordinator::Term{.group = state_->group, .number = term, .predecessor = predecessor},
-                                                 dialEngine_,
-                                                 store_,
-                                                 metrics_,
-                                                 Coordinator::Callbacks{.sendToOwnEngine = [this](const RankOrder &order) { executeOrder(order); },
-                                                                        .onSuperseded =
-                                                                            [this] {
-                                                                                coordinatorHeardAt_ = BootClock::now();
-                                                                                resignTimer_.start(Duration(0)); // Not under its own call.
-                                                                            }});
+    coordinator_ = std::make_unique<Coordinator>(
+        loop_,
+        options_,
+        Coordinator::Term{.group = state_->group, .number = term, .predecessor = predecessor},
+        dialEngine_,
+        store_,
+        metrics_,
+        Coordinator::Callbacks{.sendToOwnEngine = [this](const RankOrder &order) { executeOrder(order); },
+                               .onSuperseded =
+                                   [this] {
+                                       coordinatorHeardAt_ = BootClock::now();
+                                       resignTimer_.start(Duration(0)); // The coordinator must not be destroyed inside its own callback.
+                                   }});
     sendReport();
 }
 
@@ -488,7 +497,7 @@
 Result<std::unique_ptr<GroupTask>>
 GroupTask::start(event_base *loop, GroupOptions options, EnginePort &engine, EngineDialer dialEngine, GroupStore &store, observe::Metrics &metrics)
 {
-    // A coordinator may end while this agent writes to it: the signal would end the whole process, where the link reports its end.
+    // A coordinator may exit while this agent writes to it. SIGPIPE would then terminate the process; with the signal ignored, the link reports the failure.
     http::ignoreBrokenPipes();
     auto task = std::make_unique<GroupTaskImpl>(loop, std::move(options), engine, std::move(dialEngine), store, metrics);
     if (const auto listening = task->listen(); !listening) {
--- a/libs/group/src/knownmaps.h
+++ b/libs/group/src/knownmaps.h
@@ -11,27 +11,27 @@
 {
 
 /**
- * The maps that an agent was told lately, whole: what a further one may be told as a change of.
+ * The maps that an agent has received recently, which serve as a base for deltas.
  *
- * Keeps the one in use and the one told last, whatever came between: a change that is given up leaves the map in use as the base of the
- * next. Versions are never used twice, so a map that is kept under one is the same at every agent. A value type.
+ * Keeps the map in use and the last one received: after an abandoned switch, the map in use is still the base of the next delta. Versions are never reused, so
+ * a version denotes the same map on every agent. A value type.
  *
  * @code
- * known.tell(order.version, order.map, state.map);
- * if (const RankExperts *base = known.find(command.mapBase)) { map = applyMapChange(*base, command.map); }
+ * knownMaps.add(order.version, order.map, state.mapVersion);
+ * if (const ExpertMap *base = knownMaps.find(command.mapBase)) { map = applyMapDelta(*base, command.map); }
  * @endcode
  */
 class KnownMaps
 {
 public:
-    /** @param inUse version of the map in use, which is kept. */
+    /** Adds a map. @param inUse version of the map in use, which is kept. */
     void add(std::uint64_t version, SharedMap map, std::uint64_t inUse)
     {
         std::erase_if(maps_, [version, inUse](const Known &known) { return known.version == version || known.version != inUse; });
         maps_.push_back({.version = version, .map = std::move(map)});
     }
 
-    /** @return nothing if it was not told. Valid until the next call of tell(). */
+    /** @return null if the map is not known. Valid until the next call of add(). */
     const ExpertMap *find(std::uint64_t version) const
     {
         for (const Known &known : maps_) {
@@ -48,7 +48,7 @@
         SharedMap map;
     };
 
-    std::vector<Known> maps_; ///< Two at most.
+    std::vector<Known> maps_; ///< At most two.
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/mapassembler.cpp
+++ b/libs/group/src/mapassembler.cpp
@@ -41,7 +41,7 @@
 std::optional<ExpertMap> MapAssembler::assemble(std::size_t ranks) const
 {
     if (ranks == 0 || rankParts_.size() != ranks || !isSameVersionEverywhere()) {
-        return std::nullopt; // Some are missing, or a switch has not been seen everywhere yet.
+        return std::nullopt; // Ranks are missing, or not all of them have reported after a switch.
     }
     const std::size_t sets = rankParts_.begin()->second.experts.size();
     ExpertMap map(sets, std::vector<std::vector<std::uint16_t>>(ranks));
--- a/libs/group/src/mapassembler.h
+++ b/libs/group/src/mapassembler.h
@@ -13,39 +13,39 @@
 {
 
 /**
- * The map in use, put together from what each rank says that it holds.
+ * Assembles the map in use from the experts that each rank reports.
  *
- * A coordinator may have begun long after the map was made, so it believes the ranks only. Pure. Not thread-safe.
+ * A coordinator may have started long after the map was created, so the ranks are its only source. Does no I/O. Not thread-safe.
  *
  * @code
- * held.note(report.rank, report.expertsVersion, experts);
- * if (const auto &map = held.joined(size)) { plan(*map); }
+ * assembler.setRank(report.rank, report.expertsVersion, experts);
+ * if (const auto map = assembler.assemble(size)) { plan(*map); }
  * @endcode
  */
 class MapAssembler
 {
 public:
-    /** Forgets all: the group has formed anew. */
+    /** Discards all parts, for a new epoch of the group. */
     void clear();
 
-    /** @return whether the rank was noted under this version; versions are never used twice within an epoch. */
+    /** @return whether the rank's experts are known for this version. Versions are never reused within an epoch. */
     bool hasRank(std::uint32_t rank, std::uint64_t version) const;
 
     void setRank(std::uint32_t rank, std::uint64_t version, ExpertsBySet experts);
 
-    /** @return whether something was noted since this was asked last. */
+    /** @return whether any part has changed since the last call. */
     bool takeChanged();
 
-    /** @return nothing while ranks are missing or hold different versions. */
+    /** @return nothing while ranks are missing or report different versions. */
     std::optional<ExpertMap> assemble(std::size_t ranks) const;
 
     /**
-     * The map in use as far as all ranks but one tell it: the absent one holds at least what no other does. Prepared in place of a
-     * map that is given up, it costs no rank a copy, and it is never armed.
+     * Assembles the map in use without the report of one rank. That rank holds at least the experts that no other rank holds. The result is only prepared to
+     * replace an abandoned map: this requires no copies, and the map is never armed.
      */
     std::optional<ExpertMap> assembleWithout(std::uint32_t absent, std::size_t ranks, std::size_t experts) const;
 
-    /** @return that of the joined map; only if there is one. */
+    /** @return the version of the assembled map; requires that there is one. */
     std::uint64_t version() const
     {
         return rankParts_.begin()->second.version;
--- a/libs/group/src/mapcodec.cpp
+++ b/libs/group/src/mapcodec.cpp
@@ -16,7 +16,7 @@
 
 using Experts = std::vector<std::uint16_t>;
 
-// Of a count, as a mean: a coordinator adds up many ranks' counts, so that what rounding takes from one evens out.
+// Resolution of counts: rounding units in the mean count. The coordinator sums the counts of many ranks, so rounding errors cancel out.
 constexpr std::uint64_t UnitsPerMeanCount = 4;
 
 constexpr std::uint64_t ExpertLimit = std::uint64_t(std::numeric_limits<std::uint16_t>::max()) + 1;
@@ -44,7 +44,7 @@
     return experts;
 }
 
-/** The elements of one that the other does not have. Lists are a few places long. */
+/** @return the experts that are not in the other list. Lists are short, so a linear search is sufficient. */
 Experts difference(const Experts &experts, const Experts &others)
 {
     Experts rest;
@@ -60,7 +60,7 @@
         one.begin(), one.end(), other.begin(), other.end(), [](const auto &ofOne, const auto &ofOther) { return ofOne.size() == ofOther.size(); });
 }
 
-/** Reads one value, which must be all that was packed. */
+/** Reads one value, which must be the whole packed content. */
 template<typename Read>
 auto readComplete(std::string_view packed, Read read) -> Result<decltype(read(std::declval<PackedReader &>()))>
 {
@@ -70,12 +70,12 @@
     }
     auto value = read(*reader);
     if (!reader->isComplete()) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers end too soon, have more than expected, or are out of range");
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers are truncated, have trailing data or are out of range");
     }
     return value;
 }
 
-/** Lists of experts with their number before them: of one set by rank, or of one rank by set. */
+/** Reads length-prefixed lists of experts: of one set by rank, or of one rank by set. */
 std::vector<Experts> readLists(PackedReader &reader)
 {
     std::vector<Experts> lists(reader.readSize());
@@ -85,7 +85,7 @@
     return lists;
 }
 
-/** One changed place of a map: what is taken from it and what is put there. */
+/** Writes one changed list of a map: the experts removed and the experts added. */
 void writeEdit(PackedWriter &writer, std::size_t distance, const Experts &before, const Experts &after)
 {
     writer.put(distance);
@@ -109,7 +109,7 @@
     for (const auto &set : map) {
         writer.put(set.size());
         for (const Experts &experts : set) {
-            writeExperts(writer, sorted(experts)); // As a change leaves them: ranks that are told in either form hold the same.
+            writeExperts(writer, sorted(experts)); // Sorted as applyMapDelta() leaves them, so that ranks get the same map from both encodings.
         }
     }
     return writer.packed();
@@ -132,7 +132,7 @@
         return {};
     }
     PackedWriter writer;
-    std::size_t distance = 1; // From the last change, or from before the first place.
+    std::size_t distance = 1; // Lists since the last changed one, or since the start.
     for (std::size_t set = 0; set < map.size(); ++set) {
         for (std::size_t rank = 0; rank < map[set].size(); ++rank, ++distance) {
             if (sorted(map[set][rank]) != sorted(base[set][rank])) {
@@ -140,7 +140,7 @@
             }
         }
     }
-    writer.put(distance); // Leads to just behind the last place.
+    writer.put(distance); // Points just past the last list.
     return writer.packed();
 }
 
@@ -164,7 +164,7 @@
         return std::move(base);
     });
     if (changed && distance != 1) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "a change of a map names a set or rank that it does not have");
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "map delta refers to a set or rank that the map does not have");
     }
     return changed;
 }
--- a/libs/group/src/mapencoder.cpp
+++ b/libs/group/src/mapencoder.cpp
@@ -18,7 +18,7 @@
 {
     if (order.version != encodedVersion_) {
         encodedVersion_ = order.version;
-        whole_.clear();
+        fullMap_.clear();
         delta_.clear();
     }
     if (baseVersion_ > 0 && knownMap == baseVersion_) {
@@ -29,10 +29,10 @@
             return {.base = baseVersion_, .map = delta_};
         }
     }
-    if (whole_.empty()) {
-        whole_ = encodeMap(*order.map);
+    if (fullMap_.empty()) {
+        fullMap_ = encodeMap(*order.map);
     }
-    return {.base = 0, .map = whole_};
+    return {.base = 0, .map = fullMap_};
 }
 
 } // namespace magnolia::group
--- a/libs/group/src/mapencoder.h
+++ b/libs/group/src/mapencoder.h
@@ -11,37 +11,37 @@
 {
 
 /**
- * Chooses the form in which an agent is told a map: whole, or as what differs from the map in use, if the agent knows that.
+ * Encodes the map of a prepare order for an agent: in full, or as a delta to the map in use if the agent has that map.
  *
- * The coordinator tells each agent of its group over one link, which takes longer than the ranks then take to copy if each is told
- * the whole map. What an agent knows it says itself with each report: what was sent to it may be lost, and an agent or a coordinator that
- * has just started begins with the right form. Each form is encoded once for all agents. A value type.
+ * All orders share the network interface of the coordinator's instance, and sending full maps to all agents would take longer than copying the experts. Each
+ * agent reports which map it has, since a message sent to it may be lost and either side may have restarted. Each encoding is computed once for all agents. A
+ * value type.
  *
  * @code
- * courier.setBase(version, map); // the map in use
- * const MapCourier::Form form = courier.formFor(order, report.knownMap);
+ * encoder.setBase(version, map); // the map in use
+ * const MapEncoder::Encoding encoding = encoder.encode(order, report.knownMap);
  * @endcode
  */
 class MapEncoder
 {
 public:
     struct Encoding {
-        std::uint64_t base = 0; ///< Of the map that `map` differs from; 0: `map` is whole.
-        std::string_view map; ///< As of mapcodec.h; valid until the next order with another version.
+        std::uint64_t base = 0; ///< Version of the map that the delta in `map` applies to; 0: `map` is a full map.
+        std::string_view map; ///< Encoded as in mapcodec.h; valid until an order with another version is encoded.
     };
 
-    /** @param version of the map in use; 0: what it is made of is not known to any agent. */
+    /** Sets the map in use. @param version its version; 0: there is no base for deltas. */
     void setBase(std::uint64_t version, ExpertMap map);
 
-    /** @param knownMap version of the map that the agent says it knows; 0: none. */
+    /** @param knownMap version of the map in use if the agent has reported that it has that map; otherwise 0. */
     Encoding encode(const RankOrder &order, std::uint64_t knownMap);
 
 private:
     std::uint64_t baseVersion_ = 0;
     ExpertMap baseMap_;
-    std::uint64_t encodedVersion_ = 0; ///< Of the order that the forms are of.
-    std::string whole_; ///< Empty until an agent needs it.
-    std::string delta_; ///< The same.
+    std::uint64_t encodedVersion_ = 0; ///< Version of the order that the cached encodings belong to.
+    std::string fullMap_; ///< Full encoding; empty until it is needed.
+    std::string delta_; ///< Delta encoding; empty until it is needed.
 };
 
 } // namespace magnolia::group
--- a/libs/group/src/mapswitch.cpp
+++ b/libs/group/src/mapswitch.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-// Versions of one term; a term lasts until another coordinator takes over, and changes of map are seconds apart.
+// Versions available to one term. A term lasts until another coordinator takes over, and map switches are seconds apart.
 constexpr std::uint64_t VersionsPerTerm = 1U << 16U;
 
-constexpr std::uint32_t MaxDoublings = 3; // Of the time after which a map is told again.
+constexpr std::uint32_t MaxDoublings = 3; // Limit for the doubling of prepareRetry.
 
 } // namespace
 
@@ -65,7 +65,7 @@
 {
     const bool isNewGroup = state.epoch > epoch_ || ranks_.size() != state.size;
     if (state.epoch < epoch_ || state.rank >= state.size) {
-        return; // Of an earlier epoch: late.
+        return; // A late report of an earlier epoch.
     }
     if (isNewGroup) {
         reset(state);
@@ -99,8 +99,8 @@
 
 std::optional<std::uint32_t> MapSwitch::provenRank() const
 {
-    const auto vouched = std::find_if(ranks_.begin(), ranks_.end(), [](const Member &member) { return member.isProven; });
-    return vouched == ranks_.end() ? std::nullopt : std::optional(vouched->state->rank);
+    const auto proven = std::find_if(ranks_.begin(), ranks_.end(), [](const Member &member) { return member.isProven; });
+    return proven == ranks_.end() ? std::nullopt : std::optional(proven->state->rank);
 }
 
 void MapSwitch::reset(const RankState &state)
@@ -144,7 +144,7 @@
     return std::all_of(ranks_.begin(), ranks_.end(), [&condition](const Member &member) { return condition(*member.state); });
 }
 
-/** The same for the ranks that have reported. */
+/** The same for the ranks whose state is reported, not proven. */
 template<typename Condition>
 bool MapSwitch::allReporting(Condition condition) const
 {
@@ -161,7 +161,7 @@
     return std::nullopt;
 }
 
-/** A pass that was never held before: a late order to release it then can't be on its way. */
+/** Chooses a pass that was never held before, so that no late order to release it can be pending. */
 std::uint64_t MapSwitch::chooseStep(std::uint64_t ahead)
 {
     lastUsedStep_ = std::max(lastStep() + ahead, lastUsedStep_ + 1);
@@ -181,16 +181,16 @@
     enter(Phase::Preparing, now);
 }
 
-/** Goes on from whatever the ranks report, after a takeover or a new epoch. */
+/** Continues from the reported states after a takeover or a new epoch. */
 void MapSwitch::resumeFromReports(BootTime now)
 {
-    // A predecessor's order to release such a pass may still be on its way, and would let it begin under a hold of ours.
+    // A predecessor's order to release one of these passes may still be pending and would cancel a hold of this coordinator.
     lastUsedStep_ = std::max(lastUsedStep_, lastStep() + 2 * options_.stepsAhead);
     const auto held = holder();
     const auto armed = std::find_if(ranks_.begin(), ranks_.end(), [](const Member &member) { return member.state->armed.has_value(); });
     if (armed == ranks_.end()) {
         if (held) {
-            // Orders to arm for that pass may be on their way.
+            // Orders to arm for that pass may still be pending.
             undoVersion_ = nextVersion();
             enter(Phase::Undoing, now);
         } else {
@@ -202,8 +202,8 @@
     const bool isArmedEverywhere = allRanks([&first](const RankState &state) { return state.armed == first; });
     const bool isProtected = held && *ranks_[*held].state->heldStep <= first.step;
     if (isArmedEverywhere || !isProtected) {
-        // Without a hold before that pass it has been released, which is done only once all are armed: a rank that does not
-        // report so has begun it, or was asked before. To disarm one now could split the group.
+        // Without a hold up to that pass, the pass has been released, which happens only after all ranks are armed. A rank that does not report so has already
+        // begun the pass, or its report is older. Disarming a rank now could leave ranks on different maps.
         version_ = first.version;
         enter(Phase::Releasing, now);
         return;
@@ -223,7 +223,7 @@
         break;
     case Phase::Idle:
         if (holder() || !allRanks([](const RankState &state) { return !state.armed; })) {
-            resumeFromReports(now); // An order of an earlier coordinator was carried out late.
+            resumeFromReports(now); // A late order of an earlier coordinator was executed.
         }
         break;
     case Phase::Preparing:
@@ -247,7 +247,7 @@
         if (allReporting([this](const RankState &state) { return state.mapVersion == version_ && !state.armed; })) {
             for (Member &member : ranks_) {
                 if (member.isProven) {
-                    member.state->armed.reset(); // It has begun the same pass.
+                    member.state->armed.reset(); // It has begun the same pass as the others.
                 }
             }
             enter(Phase::Idle, now);
@@ -294,13 +294,13 @@
     orders.push_back({.rank = rank, .order = std::move(order), .senderRank = senderRank});
 }
 
-/** Not the coordinator's: if that instance is lost, somebody who can be reached has to release the pass. */
+/** Never the coordinator's own rank: if that instance is lost, a reachable agent must be able to release the pass. */
 std::uint32_t MapSwitch::defaultHolder() const
 {
     return ownRank_ ? (*ownRank_ + 1) % size() : 0;
 }
 
-/** Whose instance gives an order. Each further try takes another way: an engine may be cut off from some instances. */
+/** The rank whose instance sends an order. Each retry uses another instance if possible, since an engine may be unreachable from some of them. */
 std::uint32_t MapSwitch::senderFor(std::uint32_t rank, RankOrderKind kind, std::uint32_t tries) const
 {
     if (!ownRank_ || size() == 1) {
@@ -311,7 +311,7 @@
         return isDirect ? *ownRank_ : rank;
     }
     if (kind == RankOrderKind::Arm && rank == *ownRank_) {
-        // Of all others but the holder's, whose loss leaves the group held anyway.
+        // Any other rank except the holder, whose loss leaves the group held anyway.
         const std::uint32_t peers = std::max(size() - 2, 1U);
         const std::uint32_t first = size() > 2 ? 2 : 1;
         return (*ownRank_ + first + tries % peers) % size();
@@ -329,10 +329,10 @@
 {
     std::vector<AddressedOrder> orders;
     if (phase_ == Phase::Preparing && now > phaseSince_ + options_.prepareLimit) {
-        enter(Phase::Idle, now); // Nothing is armed or held; what is prepared is replaced by the next.
+        enter(Phase::Idle, now); // Nothing is armed or held, and the next prepared map replaces this one.
     }
     if (phase_ == Phase::Holding && lastStep() >= switchStep_) {
-        // The pass began before the hold reached its rank, which then refuses it: a later one is held.
+        // The pass began before the hold reached its rank, which rejects the hold; a later pass is held instead.
         switchStep_ = chooseStep(2 * options_.stepsAhead);
         enter(Phase::Holding, now);
     }
@@ -353,7 +353,7 @@
             break;
         case Phase::Holding:
             if (state.heldStep && (rank != holder_ || state.heldStep != switchStep_)) {
-                // A late one of an earlier try. No rank is armed, nor can become so for it: all have a newer map prepared.
+                // A late hold of an earlier try. No rank is armed for it or can become so, since all have prepared a newer map.
                 addOrder(orders, rank, {.kind = RankOrderKind::Release, .step = *state.heldStep}, now);
             } else if (rank == holder_ && !state.heldStep) {
                 addOrder(orders, rank, {.kind = RankOrderKind::Hold, .version = switchStep_, .step = switchStep_}, now);
--- a/libs/group/src/packednumbers.cpp
+++ b/libs/group/src/packednumbers.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-constexpr unsigned PayloadBits = 7; // Of each byte.
+constexpr unsigned PayloadBits = 7; // Payload bits in each byte.
 constexpr unsigned MaxBits = 64;
 constexpr std::uint8_t ContinuationBit = 0x80;
 
-// Best speed: an agent has a small part of a core, and the next levels save few bytes of such short lists.
+// An agent has a small share of a core, and higher levels save only a few bytes on such short lists.
 constexpr int CompressionLevel = Z_BEST_SPEED;
 
-// A map of 128 ranks and 64 sets has some 50,000 numbers.
+// Limit against corrupt sizes. A map of 128 ranks and 64 sets has about 50,000 numbers.
 constexpr std::size_t MaxUnpackedBytes = 4U << 20U;
 
 const Bytef *asBytes(std::string_view text)
@@ -38,7 +38,7 @@
 
 std::string PackedWriter::packed() const
 {
-    // The size goes first, so that a reader knows what to expect.
+    // The unpacked size comes first so that the reader can allocate the buffer.
     PackedWriter header;
     header.put(bytes_.size());
     std::string packed = header.bytes_;
@@ -46,7 +46,7 @@
     uLongf size = compressBound(bytes_.size());
     packed.resize(start + size);
     if (compress2(reinterpret_cast<Bytef *>(packed.data() + start), &size, asBytes(bytes_), bytes_.size(), CompressionLevel) != Z_OK) {
-        throw std::bad_alloc(); // There is room for whatever comes out, so nothing else can be wrong.
+        throw std::bad_alloc(); // The buffer has the bound that zlib requires, so running out of memory is the only possible failure.
     }
     packed.resize(start + size);
     return packed;
@@ -58,7 +58,7 @@
     header.bytes_ = packed.substr(0, sizeof(std::uint64_t));
     const std::uint64_t size = header.read();
     if (header.isBad_ || size > MaxUnpackedBytes) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers have no size, or too large a one");
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers have no size or exceed the size limit");
     }
     PackedReader reader;
     reader.bytes_.resize(size);
@@ -66,7 +66,7 @@
     const std::string_view rest = packed.substr(header.position_);
     const int outcome = uncompress(reinterpret_cast<Bytef *>(reader.bytes_.data()), &unpacked, asBytes(rest), rest.size());
     if (outcome != Z_OK || unpacked != size) {
-        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers can't be unpacked");
+        return fail(ErrorCode::ProtocolError, Verdict::NotRun, "packed numbers cannot be decompressed");
     }
     return reader;
 }
--- a/libs/group/src/packednumbers.h
+++ b/libs/group/src/packednumbers.h
@@ -12,9 +12,9 @@
 {
 
 /**
- * Packs small whole numbers into few bytes: variable length (LEB128), then deflate.
+ * Packs small integers into few bytes: variable-length integers (LEB128), compressed with deflate.
  *
- * Maps of experts and counts of choices go to or come from every agent of a group over one instance's link, which is slow. A value type.
+ * The coordinator exchanges expert maps and counts with every agent of a group over one slow network interface. A value type.
  *
  * @code
  * PackedWriter writer;
@@ -27,7 +27,7 @@
 public:
     void put(std::uint64_t number);
 
-    /** @return all numbers put so far. */
+    /** @return the packed form of all numbers put so far. */
     std::string packed() const;
 
 private:
@@ -38,19 +38,19 @@
 class PackedReader
 {
 public:
-    /** @return a failure if these bytes are no packed numbers, or far more of them than any group needs. */
+    /** @return a failure if the bytes are not packed numbers or exceed the size limit. */
     static Result<PackedReader> open(std::string_view packed);
 
-    /** @return the next number; 0 once something could not be read, see isWhole(). */
+    /** @return the next number, or 0 after a read error; see isComplete(). */
     std::uint64_t read();
 
-    /** The same for a number of things that follow: bad if fewer bytes are left than things. */
+    /** Reads the number of elements that follow. It is an error if fewer bytes are left than elements. */
     std::size_t readSize();
 
-    /** Takes the next number, which must be below a bound. */
+    /** Reads the next number, which must be below a bound. */
     std::uint64_t readBelow(std::uint64_t bound);
 
-    /** Whether everything taken so far was there, and nothing is left. */
+    /** Whether all reads succeeded and no bytes are left. */
     bool isComplete() const
     {
         return !isBad_ && position_ == bytes_.size();
--- a/libs/group/src/replicaplanner.cpp
+++ b/libs/group/src/replicaplanner.cpp
@@ -9,25 +9,25 @@
 namespace
 {
 
-// Experts of the most loaded rank that a further replica is considered for: the others bring less.
+// Number of experts of the most loaded rank for which changes are considered; the gain of the others is smaller.
 constexpr std::size_t CandidateExperts = 3;
 
-// Ranks differ by some hundredths in what they report; moving experts for that would cost more copies than it saves time.
+// Reported paces differ by some hundredths; moving experts because of that would cost more in copies than it saves in time.
 constexpr double MinSlowPace = 1.15;
 
-// A fall of the penalty below this is rounding, and following it would never end.
+// Smaller gains are rounding errors, and applying them might never terminate.
 constexpr double MinRelativeGain = 1e-9;
 
-/** One step of a plan: an expert is held by one rank more, by another rank, or by one rank less. */
+/** One step of a plan: adds, moves or removes a replica of an expert. */
 struct Change {
     std::uint16_t expert = 0;
-    std::optional<std::uint32_t> to; ///< The rank that takes a copy.
-    std::optional<std::uint16_t> dropped; ///< By that rank, to make room.
-    std::optional<std::uint32_t> from; ///< The rank that holds the expert no more.
-    double gain = 0; ///< By how much the penalty of the set falls.
+    std::optional<std::uint32_t> to; ///< The rank that gets a copy.
+    std::optional<std::uint16_t> dropped; ///< The expert that this rank drops to make room.
+    std::optional<std::uint32_t> from; ///< The rank that drops the replica.
+    double gain = 0; ///< Reduction of the set's penalty.
 };
 
-/** One set of experts while its map is being changed. */
+/** The placement of one set of experts while a map is being planned. */
 class SetPlacement
 {
 public:
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Time of the rank that takes longest; 1 if all ranks have the same work and none is slow. */
+    /** @return the work of the most loaded rank; 1 if all ranks have the same work and none is slow. */
     double maxWork() const
     {
         return *std::max_element(work_.begin(), work_.end());
@@ -115,7 +115,7 @@
         std::erase(holders_[expert], rank);
     }
 
-    /** What the expert costs one of so many ranks that share it, by that rank's pace. */
+    /** @return the work of an expert on one of the ranks that share it, weighted by that rank's pace. */
     double workOf(std::uint32_t rank, std::uint16_t expert, std::size_t replicas) const
     {
         return shares_[expert] * static_cast<double>(held_.size()) / static_cast<double>(replicas) * paces_[rank];
@@ -130,7 +130,8 @@
         return experts;
     }
 
-    /** The expert on a further rank, or there in place of the hottest, in a free place or in that of one that others hold too. */
+    /** Considers adding a replica on a rank, or moving it there from the most loaded rank, with free capacity or in place of an expert that has further
+     * replicas. */
     void considerCopy(std::optional<Change> &best, const ReplicaPlanner::Options &options, std::uint16_t expert, std::uint32_t hottest, std::uint32_t rank)
     {
         for (const auto from : {std::optional<std::uint32_t>(), std::optional(hottest)}) {
@@ -155,7 +156,7 @@
         newWork_[rank] += workChange;
     }
 
-    /** Adds what it alters in the ranks' work that an expert is held by these and no others any more. */
+    /** Adds the effect on the ranks' work if a replica of an expert is added, removed or moved. */
     void addMove(std::uint16_t expert, std::optional<std::uint32_t> to, std::optional<std::uint32_t> from)
     {
         const std::size_t before = holders_[expert].size();
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Leaves the ranks whose work a change alters in touched_, and their work afterwards in changed_. */
+    /** Stores the ranks whose work a change affects in affectedRanks_ and their resulting work in newWork_. */
     void computeNewWork(const Change &change)
     {
         affectedRanks_.clear();
@@ -179,8 +180,7 @@
         }
     }
 
-    // A high power: its sum falls with each rank near the top that is relieved, where the maximum alone would see no
-    // progress while two ranks share it.
+    // The eighth power, so that relieving any highly loaded rank lowers the sum. With the maximum alone there would be no gain while two ranks share it.
     static double penaltyOf(double work)
     {
         const double second = work * work;
@@ -206,11 +206,11 @@
     std::vector<std::vector<std::uint32_t>> holders_; ///< By expert.
     std::vector<std::size_t> newCopies_; ///< By rank.
     std::vector<double> work_; ///< By rank.
-    std::vector<double> newWork_; ///< By rank, where touched_ names it.
+    std::vector<double> newWork_; ///< By rank; valid for affectedRanks_ only.
     std::vector<std::uint32_t> affectedRanks_;
 };
 
-/** One pace for each rank: 1 where none is told, and where a rank is hardly slower than it should be. */
+/** The pace of each rank; 1 if none is reported or if the rank is only slightly slow. */
 std::vector<double> effectivePaces(const ExpertMap &map, std::span<const double> reported)
 {
     std::vector<double> paces(map.empty() ? 0 : map.front().size(), 1.0);
