--- a/libs/group/tests/armedstateprovertest.cpp
+++ b/libs/group/tests/armedstateprovertest.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr std::uint32_t Ranks = 4;
-constexpr std::uint32_t Lost = 1; ///< The rank of the coordinator that can't be reached.
+constexpr std::uint32_t Unreachable = 1; ///< The rank of the unreachable coordinator.
 constexpr std::uint64_t Term = 7;
 constexpr std::uint64_t Epoch = 2;
 
@@ -26,28 +26,28 @@
     return first + count;
 }
 
-/** All agents but the lost rank's were told the same fresh change. */
+/** All agents except the lost rank's were ordered to prepare the same fresh version. */
 struct ArmedStateProverFixture {
     ArmedStateProverFixture()
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
-            records.push_back({.preparedVersion = version, .isFresh = true, .peerArm = {}, .map = version - 1});
+            records.push_back({.orderedVersion = version, .isFresh = true, .peerArm = {}, .map = version - 1});
         }
     }
 
     std::optional<ArmedStateProver::Proof> prove()
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
-            if (rank != Lost && rank != unreported) {
+            if (rank != Unreachable && rank != unreported) {
                 prover.recordSwitch(rank, records[rank]);
             }
         }
-        return prover.prove({.rank = Lost, .size = Ranks, .epoch = Epoch, .term = Term});
+        return prover.prove({.rank = Unreachable, .size = Ranks, .epoch = Epoch, .term = Term});
     }
 
     PeerArm arm(bool isAccepted) const
     {
-        return {.rank = Lost, .epoch = Epoch, .version = version, .step = 90, .isAccepted = isAccepted};
+        return {.rank = Unreachable, .epoch = Epoch, .version = version, .step = 90, .isAccepted = isAccepted};
     }
 
     const std::uint64_t version = versionOf(Term, 3);
@@ -60,14 +60,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(ArmedStateProverTest, ArmedStateProverFixture)
 
-BOOST_AUTO_TEST_CASE(orderToArm_nobodyGaveIt_rankIsNotArmed)
+BOOST_AUTO_TEST_CASE(orderToArm_sentByNoAgent_rankIsNotArmed)
 {
     const auto proof = prove();
     BOOST_REQUIRE(proof.has_value());
     BOOST_TEST(!proof->armed.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(orderToArm_engineTookIt_rankIsArmed)
+BOOST_AUTO_TEST_CASE(orderToArm_acceptedByTheEngine_rankIsArmed)
 {
     records[3].peerArm = arm(true);
     const auto proof = prove();
@@ -75,28 +75,28 @@
     BOOST_TEST((proof->armed == ArmedMap{.version = version, .step = 90}));
 }
 
-BOOST_AUTO_TEST_CASE(orderToArm_hadNoAnswer_nothingIsProved)
+BOOST_AUTO_TEST_CASE(orderToArm_unanswered_nothingIsProven)
 {
     records[3].peerArm = arm(false);
     BOOST_TEST(!prove().has_value());
-    records[2].peerArm = arm(true); // Tried again by another.
+    records[2].peerArm = arm(true); // Repeated by another agent.
     BOOST_TEST(prove()->armed.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(orderToArm_ofAnEarlierChange_countsOnlyWhileThatIsNotInUse)
+BOOST_AUTO_TEST_CASE(orderToArm_ofAnEarlierSwitch_mattersOnlyUntilItsVersionIsInUse)
 {
     records[3].peerArm = arm(false);
     records[3].peerArm->version = version - 1;
     BOOST_TEST(prove().has_value());
     for (SwitchRecord &record : records) {
-        record.map = version - 2; // That change never came to be.
+        record.map = version - 2; // That switch never completed.
     }
     BOOST_TEST(!prove().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(agent_startedAgainOrWasNotHeard_nothingIsProved)
+BOOST_AUTO_TEST_CASE(agent_restartedOrNotReported_nothingIsProven)
 {
-    records[2] = {.preparedVersion = 0, .isFresh = false, .peerArm = {}, .map = version - 1};
+    records[2] = {.orderedVersion = 0, .isFresh = false, .peerArm = {}, .map = version - 1};
     BOOST_TEST(!prove().has_value());
     records[2] = records[0];
     unreported = 0;
@@ -104,12 +104,12 @@
     BOOST_TEST(!prove().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(change_undoesAnotherOrIsOfAnEarlierTerm_nothingIsProved)
+BOOST_AUTO_TEST_CASE(switch_undoesAnotherOrIsOfAnEarlierTerm_nothingIsProven)
 {
     records[2].isFresh = false;
     BOOST_TEST(!prove().has_value());
     for (SwitchRecord &record : records) {
-        record = {.preparedVersion = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .map = 0};
+        record = {.orderedVersion = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .map = 0};
     }
     BOOST_TEST(!prove().has_value());
 }
--- a/libs/group/tests/bulkpacertest.cpp
+++ b/libs/group/tests/bulkpacertest.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/** A network interface that sends in the order of arrival. */
+/** A network interface with a FIFO queue. */
 struct Interface {
     void send(std::size_t bytes, BootTime now)
     {
@@ -23,16 +23,16 @@
 };
 
 constexpr std::size_t Agents = 63;
-constexpr Duration Patience{700};
+constexpr Duration CoordinatorTimeout{700};
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(BulkPacerTest)
 
-// Symptom: no coordinator of a large group stayed for longer than its agents' patience, and no map was ever changed. Sequence: a map was told to all
-// agents at once, and again each 400 ms, as none could have reported it prepared; the next heartbeat waited behind all of that on the instance's interface.
-// Cause: a bulky order delays the heartbeat.
-BOOST_AUTO_TEST_CASE(heartbeat_whileAWholeMapIsToldToALargeGroup_waitsForLessThanAThirdOfThePatience)
+// Guards against heartbeats queued behind maps: a map was sent to all agents of a large group at once, and again every 400 ms because no agent could have
+// reported it as prepared. The next heartbeat waited behind all of it on the instance's interface, so the agents timed out, each coordinator was replaced, and
+// no map was ever changed.
+BOOST_AUTO_TEST_CASE(heartbeat_whileAFullMapIsSentToALargeGroup_isDelayedByLessThanAThirdOfTheTimeout)
 {
     constexpr std::size_t MapBytes = 8000;
     constexpr std::size_t HeartbeatBytes = 150;
@@ -40,21 +40,21 @@
     BulkPacer pacer({.bytesPerSecond = Interface::BytesPerSecond / 2});
     std::size_t left = Agents;
     BootTime now(1h);
-    BootTime lastTold;
+    BootTime lastSentAt;
     for (; left > 0; now += 10ms) {
         while (left > 0 && pacer.tryConsume(MapBytes, now)) {
             interface.send(MapBytes, now);
             --left;
         }
-        lastTold = now;
+        lastSentAt = now;
         interface.send(HeartbeatBytes, now);
-        BOOST_TEST((interface.idleAt - now < Patience / 3));
+        BOOST_TEST((interface.idleAt - now < CoordinatorTimeout / 3));
     }
-    // And it does end: in little more than the bytes take at the part of the interface that is left to bulk.
-    BOOST_TEST((lastTold - BootTime(1h) < 1500ms));
+    // The maps are sent in little more than the time that their bytes take at the pacer's rate.
+    BOOST_TEST((lastSentAt - BootTime(1h) < 1500ms));
 }
 
-BOOST_AUTO_TEST_CASE(bulk_noRateKnown_isNotHeldBack)
+BOOST_AUTO_TEST_CASE(bulk_rateUnknown_isNotLimited)
 {
     BulkPacer pacer({.bytesPerSecond = 0});
     for (std::size_t agent = 0; agent < Agents; ++agent) {
@@ -62,14 +62,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(bulk_afterALongPause_isNotSavedUpBeyondABurst)
+BOOST_AUTO_TEST_CASE(bulk_afterALongPause_isLimitedToOneBurst)
 {
     BulkPacer pacer({.bytesPerSecond = 100'000, .burst = 20ms});
     std::size_t sent = 0;
     while (pacer.tryConsume(500, BootTime(1h))) {
         ++sent;
     }
-    BOOST_TEST(sent <= 5U); // 2,000 bytes in 20 ms, and the one that goes over it.
+    BOOST_TEST(sent <= 5U); // 2,000 bytes in 20 ms, plus the message that exceeds it.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/group/tests/changepolicytest.cpp
+++ b/libs/group/tests/changepolicytest.cpp
@@ -11,8 +11,8 @@
 using namespace std::chrono_literals;
 
 struct ChangePolicyFixture {
-    /** Passes of so long, reported every second one. */
-    void passes(int count, Duration each, bool isBusy = true)
+    /** Simulates passes of equal duration; every second one is reported. */
+    void simulatePasses(int count, Duration each, bool isBusy = true)
     {
         for (int pass = 0; pass < count; ++pass) {
             now += 2 * each;
@@ -30,37 +30,37 @@
 
 BOOST_FIXTURE_TEST_SUITE(ChangePolicyTest, ChangePolicyFixture)
 
-// Symptom: streams were late after a shift of demand for half a second longer than a change takes. Sequence: a change that
-// made the map a tenth more even had just begun when demand shifted. Cause: maps were polished while no stream was late.
+// Guards against needless switches: a switch that made the map a tenth more even, while no stream was late, had just begun when demand shifted. Streams were
+// late for half a second longer than a switch takes.
 BOOST_AUTO_TEST_CASE(passes_short_onlyAnUnevenMapIsChanged)
 {
-    passes(10, 50ms);
+    simulatePasses(10, 50ms);
     BOOST_TEST(!policy.needsChange(1.2));
     BOOST_TEST(policy.needsChange(1.6));
 }
 
-BOOST_AUTO_TEST_CASE(passes_nearTheObjective_eachHundredthCounts)
+BOOST_AUTO_TEST_CASE(passes_nearTheObjective_slightlyUnevenMapIsChanged)
 {
-    passes(10, 90ms);
+    simulatePasses(10, 90ms);
     BOOST_TEST(policy.needsChange(1.2));
     BOOST_TEST(!policy.needsChange(1.05));
-    passes(10, 50ms);
+    simulatePasses(10, 50ms);
     BOOST_TEST(!policy.needsChange(1.2));
 }
 
-BOOST_AUTO_TEST_CASE(group_wasIdle_theTimeWithoutPassesIsNoPass)
+BOOST_AUTO_TEST_CASE(group_wasIdle_idleTimeIsNotCountedAsAPass)
 {
-    passes(10, 50ms);
+    simulatePasses(10, 50ms);
     policy.recordStep(step, false, now);
     now += 10s;
     policy.recordStep(step, false, now);
-    passes(1, 50ms);
+    simulatePasses(1, 50ms);
     BOOST_TEST(policy.passTime().count() < 60.0);
 }
 
-BOOST_AUTO_TEST_CASE(report_ofTheSamePass_saysNothing)
+BOOST_AUTO_TEST_CASE(report_ofTheSamePass_isIgnored)
 {
-    passes(10, 50ms);
+    simulatePasses(10, 50ms);
     for (int report = 0; report < 3; ++report) {
         now += 10ms;
         policy.recordStep(step, true, now);
@@ -70,17 +70,17 @@
     BOOST_TEST(policy.passTime().count() < 55.0);
 }
 
-BOOST_AUTO_TEST_CASE(copies_quick_mapIsPolishedAtEaseToo)
+BOOST_AUTO_TEST_CASE(copies_quick_slightlyUnevenMapIsChangedDespiteShortPasses)
 {
     policy = ChangePolicy({.pauseObjective = 120ms, .copyTime = 80ms});
-    passes(10, 50ms);
+    simulatePasses(10, 50ms);
     BOOST_TEST(policy.needsChange(1.2));
 }
 
-BOOST_AUTO_TEST_CASE(routes_withoutAnObjective_eachHundredthCounts)
+BOOST_AUTO_TEST_CASE(routes_withoutAnObjective_slightlyUnevenMapIsChanged)
 {
     policy = ChangePolicy({});
-    passes(10, 10ms);
+    simulatePasses(10, 10ms);
     BOOST_TEST(policy.needsChange(1.2));
 }
 
--- a/libs/group/tests/coordinatortermtest.cpp
+++ b/libs/group/tests/coordinatortermtest.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(CoordinatorTermTest)
 
-BOOST_AUTO_TEST_CASE(successor_ofAnyRow_hasAHigherTermThanTheRowAndWhatItFollowed)
+BOOST_AUTO_TEST_CASE(nextRow_ofAnyRow_hasAHigherTermThanTheRowAndTheFollowedTerm)
 {
     const CoordinatorRow read{.term = 7, .holder = "a", .version = 40};
     BOOST_TEST(nextCoordinatorRow(read, 0, "b").term == 8U);
@@ -16,15 +16,15 @@
     BOOST_TEST(nextCoordinatorRow(read, 0, "b").holder == "b");
 }
 
-// Guards against a term that was given before the store returned from an older copy being given again.
-BOOST_AUTO_TEST_CASE(successor_inALaterEra_hasAHigherTermThanAllBefore)
+// Guards against reuse of a term after the store was restored from an older copy.
+BOOST_AUTO_TEST_CASE(nextRow_inALaterEra_hasAHigherTermThanAllEarlierEras)
 {
     const CoordinatorRow before{.term = 900, .holder = "a", .version = store::versionAcrossEras(1, 40)};
     const CoordinatorRow older{.term = 3, .holder = "a", .version = store::versionAcrossEras(2, 4)};
     BOOST_TEST(nextCoordinatorRow(older, 0, "b").term > nextCoordinatorRow(before, 0, "b").term);
 }
 
-BOOST_AUTO_TEST_CASE(write_answeredInAnotherEra_isOfAnotherHistory)
+BOOST_AUTO_TEST_CASE(write_answeredInAnotherEra_isDetected)
 {
     const CoordinatorRow read{.term = 7, .holder = "a", .version = store::versionAcrossEras(1, 40)};
     BOOST_TEST(isInSameStoreEra(read, store::versionAcrossEras(1, 41)));
--- a/libs/group/tests/directaccesspolicytest.cpp
+++ b/libs/group/tests/directaccesspolicytest.cpp
@@ -34,28 +34,28 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectAccessPolicyTest, DirectAccessPolicyFixture)
 
-BOOST_AUTO_TEST_CASE(agents_allHeard_enginesAreLeftToThem)
+BOOST_AUTO_TEST_CASE(agents_allResponsive_noEngineIsContacted)
 {
     BOOST_TEST(!policy.mayContactEngines(Start + 100ms));
     BOOST_TEST(policy.mayReleasePass(Start + 100ms));
 }
 
-BOOST_AUTO_TEST_CASE(oneAgent_silent_itsEngineMayBeAddressed)
+BOOST_AUTO_TEST_CASE(oneAgent_unresponsive_itsEngineMayBeContacted)
 {
-    // Symptom: a group stood still for four seconds. Sequence: the instance of the agent that had just given the order to
-    // hold was frozen, and its engine could not be told to go on. Cause: engines were spoken to by their own agents only.
+    // Guards against a group that stays held: an agent's process was frozen just after it had sent the order to hold, and since engines were contacted by their
+    // own agents only, the pass could not be released for four seconds.
     reportAllExcept(3, Start + 500ms);
     BOOST_TEST(policy.isUnresponsive(3, Start + 500ms));
     BOOST_TEST(policy.mayContactEngines(Start + 500ms));
 }
 
-BOOST_AUTO_TEST_CASE(coordinator_wokeFromAFreeze_addressesNoEngine)
+BOOST_AUTO_TEST_CASE(coordinator_resumedAfterAFreeze_contactsNoEngine)
 {
-    // All are silent by its clock; another may have taken its place meanwhile.
+    // By its clock all agents are unresponsive, and it may have been replaced meanwhile.
     BOOST_TEST(!policy.mayContactEngines(Start + 4s));
 }
 
-BOOST_AUTO_TEST_CASE(manyAgents_silent_noEngineIsAddressed)
+BOOST_AUTO_TEST_CASE(manyAgents_unresponsive_noEngineIsContacted)
 {
     for (std::uint32_t rank = 3; rank < 12; ++rank) {
         policy.onAgentReport(rank, Start + 500ms);
@@ -63,7 +63,7 @@
     BOOST_TEST(!policy.mayContactEngines(Start + 500ms));
 }
 
-BOOST_AUTO_TEST_CASE(silentEngine_askedAfterTheOthersReported_noReleaseUntilTheyDoAgain)
+BOOST_AUTO_TEST_CASE(engine_queriedAfterTheOthersReported_noReleaseUntilTheyReportAgain)
 {
     reportAllExcept(3, Start + 500ms);
     policy.onEngineAnswer(3, Start + 510ms);
--- a/libs/group/tests/expertdemandtest.cpp
+++ b/libs/group/tests/expertdemandtest.cpp
@@ -17,10 +17,10 @@
 constexpr int Ranks = 12;
 constexpr std::uint64_t ChoicesOfReport = 1000;
 
-/** Twelve ranks, each of which reports every 100 ms, one after the other. */
+/** Twelve ranks that each report every 100 ms, evenly staggered. */
 struct ExpertDemandFixture {
-    /** Reports of that time, all choices being of one of two experts. */
-    void reportsFor(Duration time, std::size_t expert)
+    /** Reports for the given time in which all choices fall on one of two experts. */
+    void reportFor(Duration time, std::size_t expert)
     {
         constexpr Duration Interval = 100ms;
         const BootTime end = now + time;
@@ -45,16 +45,16 @@
 
 BOOST_FIXTURE_TEST_SUITE(ExpertDemandTest, ExpertDemandFixture)
 
-BOOST_AUTO_TEST_CASE(choices_ofOneExpert_areItsShare)
+BOOST_AUTO_TEST_CASE(choices_allOfOneExpert_giveItTheWholeShare)
 {
-    reportsFor(1s, 0);
+    reportFor(1s, 0);
     BOOST_TEST(shareOf(0) == 1.0, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(shareOf(1) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(oneRanksReport_unlikeTheOthers_isNoMoreThanItsPart)
+BOOST_AUTO_TEST_CASE(oneRanksReport_differsFromTheOthers_isWeightedAsOneOfThem)
 {
-    reportsFor(1s, 0);
+    reportFor(1s, 0);
     demand.addCounts(std::array<std::uint64_t, 2>{0, ChoicesOfReport}, now);
     BOOST_TEST(shareOf(1) < 1.0 / Ranks);
 }
--- a/libs/group/tests/groupcodectest.cpp
+++ b/libs/group/tests/groupcodectest.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(GroupCodecTest)
 
-BOOST_AUTO_TEST_CASE(state_everyField_survivesAReport)
+BOOST_AUTO_TEST_CASE(state_allFieldsSet_roundTripsThroughAReport)
 {
     const RankState state{.group = "g",
                           .epoch = 3,
@@ -29,13 +29,13 @@
     BOOST_TEST((toRankState(toReport(state)) == state));
 }
 
-BOOST_AUTO_TEST_CASE(state_heldAtPassZero_isNotTakenForNone)
+BOOST_AUTO_TEST_CASE(state_heldAtPassZero_isNotReadAsNotHeld)
 {
     const RankState state{.group = "g", .heldStep = 0};
     BOOST_TEST((toRankState(toReport(state)) == state));
 }
 
-BOOST_AUTO_TEST_CASE(order_withItsMap_survivesACommand)
+BOOST_AUTO_TEST_CASE(order_withItsMap_roundTripsThroughACommand)
 {
     const RankOrder order{.kind = RankOrderKind::Prepare, .epoch = 1, .version = 2, .step = 0, .map = ExpertMap{{{1, 2}, {3}}}};
     wire::RankCommand command = toCommand(order, "g", 9);
@@ -46,12 +46,12 @@
     BOOST_TEST(read->version == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(command_ofNoKnownKind_isRefused)
+BOOST_AUTO_TEST_CASE(command_ofUnknownKind_isRejected)
 {
     BOOST_TEST(!toOrder({.group = "g", .term = 1, .kind = 99, .map = {}}, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(command_mapCutShort_isRefused)
+BOOST_AUTO_TEST_CASE(command_mapTruncated_isRejected)
 {
     wire::RankCommand command = toCommand({.kind = RankOrderKind::Prepare}, "g", 9);
     command.map = encodeMap({{{1, 2}, {3}}});
@@ -59,10 +59,10 @@
     BOOST_TEST(!toOrder(command, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(counts_notPacked_areRefused)
+BOOST_AUTO_TEST_CASE(counts_notPacked_areRejected)
 {
     BOOST_TEST(!decodeCounts("\xff\xff").has_value());
-    // Rounded to the nearest of four units for the mean count: half a unit off at most.
+    // Counts are rounded to multiples of a quarter of the mean count: the error is at most half a unit.
     constexpr std::uint64_t HalfUnit = 70001 / (3 * 4) / 2;
     const std::uint64_t read = decodeCounts(encodeCounts({1, 0, 70000})).value().at(2);
     BOOST_TEST(std::max<std::uint64_t>(read, 70000) - std::min<std::uint64_t>(read, 70000) <= HalfUnit);
--- a/libs/group/tests/groupsimulation.h
+++ b/libs/group/tests/groupsimulation.h
@@ -16,27 +16,26 @@
 namespace magnolia::group
 {
 
-/** Which of the rules that keep a group on one map is taken out, to see that the world notices. */
+/** Safety rule of a map switch to disable, to check that the simulation detects the fault. */
 enum class Mutant {
     None,
-    AssumesOrdersExecuted, ///< An order counts as carried out once it was given.
-    ReusedVersions, ///< A successor counts its versions as its predecessor did.
-    IgnoresTerms, ///< Agents heed a coordinator that has been replaced.
-    CoordinatorArmsOwnRank, ///< A coordinator's own agent arms its rank.
-    PeerForgetsArm, ///< An agent that has started again vouches for what it does not remember.
-    UndoMarkedFresh, ///< A change that undoes another counts as begun while nothing was armed.
-    AssumesUnarmed, ///< A rank that can't be reached counts as not armed, whatever the others remember.
+    AssumesOrdersExecuted, ///< An order counts as executed once it was sent.
+    ReusedVersions, ///< A successor uses the same versions as its predecessor.
+    IgnoresTerms, ///< Agents execute orders of a coordinator that has been replaced.
+    CoordinatorArmsOwnRank, ///< The coordinator's own agent arms its rank.
+    PeerForgetsArm, ///< An agent loses its record of an order to arm but still counts as evidence.
+    UndoMarkedFresh, ///< A switch that undoes another is marked as begun while nothing was armed.
+    AssumesUnarmed, ///< An unreachable rank counts as not armed, regardless of the other agents' records.
 };
 
 /**
- * A group of engines as they are published to behave, agents, and coordinators that come and go.
+ * Randomised simulation of a group of engines that behave as specified, their agents and changing coordinators.
  *
- * An instance may freeze: its engine goes on with the group, but neither it nor the agent beside it can be reached, what is sent
- * there comes late or never, and a coordinator there goes on when it wakes, as if nothing had been. Agents may start again, and
- * forget what they were told.
+ * An instance may freeze: its engine continues with the group, but neither the engine nor its agent is reachable, messages to them arrive late or never, and a
+ * coordinator on it resumes later without noticing the pause. Agents may restart and lose their records.
  *
- * Orders may be lost, carried out late or twice, and their answers never count. Engines don't compare maps. Before each
- * pass it is checked that all ranks have the same map, by version and content.
+ * Orders may be lost, executed late or executed twice, and their answers are ignored. Engines do not compare maps. Every pass checks that all ranks use the
+ * same map, by version and content.
  */
 class GroupSimulation
 {
@@ -44,8 +43,8 @@
     struct Options {
         std::uint32_t ranks = 2;
         Mutant mutant = Mutant::None;
-        double delayedShare = 0.3; ///< Of the orders that are carried out some time later instead.
-        double duplicatedShare = 0.1; ///< Of those carried out at once that are carried out again later.
+        double delayedShare = 0.3; ///< Share of orders that are executed later.
+        double duplicatedShare = 0.1; ///< Share of the orders executed at once that are executed again later.
     };
 
     GroupSimulation(Options options, std::uint64_t seed)
@@ -57,7 +56,7 @@
         takeOver();
     }
 
-    /** Draws and plays one event. */
+    /** Simulates one random event. */
     void step()
     {
         now_ += std::chrono::milliseconds(randomInt(1, 20));
@@ -102,7 +101,7 @@
         }
     }
 
-    /** Plays on with nothing going wrong any more. @return whether the group runs and can be switched again. */
+    /** Continues without faults. @return whether the group runs passes and is idle again. */
     bool recovers()
     {
         options_.delayedShare = 0;
@@ -139,14 +138,14 @@
     {
         return step_;
     }
-    /** How often a successor went on by the others' word. */
+    /** Number of states that successors have proven. */
     std::uint64_t proofs() const
     {
         return proofs_;
     }
 
 private:
-    using Content = std::uint64_t; ///< Stands for the experts of a map; the same everywhere if the maps are the same.
+    using Content = std::uint64_t; ///< Represents the experts of a map; equal if and only if the maps are equal.
 
     struct Engine {
         std::uint64_t map = 0;
@@ -155,29 +154,29 @@
         std::uint64_t preparedContent = 0;
         std::optional<ArmedMap> armed{};
         std::optional<std::uint64_t> held{};
-        std::uint64_t highest = 0; ///< Of all versions that it has had.
+        std::uint64_t highest = 0; ///< Highest version that it has prepared.
         std::uint64_t content = 0;
     };
 
     struct Coordinator {
         std::uint64_t term = 0;
         MapSwitch change;
-        BootTime begunAt{};
-        std::uint32_t at = 0; ///< The rank of its instance.
+        BootTime startedAt{};
+        std::uint32_t at = 0; ///< Rank on its instance.
         ArmedStateProver prover{};
         std::optional<std::uint64_t> predecessorTerm{};
         std::uint32_t predecessorAt = 0;
-        std::vector<BootTime> heardAt{}; ///< By rank.
+        std::vector<BootTime> reportedAt{}; ///< By rank: time of the last report.
         std::uint64_t epoch = 0;
     };
 
-    /** An order on its way to an engine, or a command on its way to the agent that is to give it. */
+    /** An order in transit to an engine, or a command in transit to the agent that will send the order. */
     struct DelayedOrder {
         std::uint32_t rank = 0;
         RankOrder order;
         std::uint64_t epoch = 0;
-        std::optional<std::uint32_t> senderRank{}; ///< Of a command.
-        std::uint64_t term = 0; ///< Of a command.
+        std::optional<std::uint32_t> senderRank{}; ///< Agent that receives a command; empty for an order.
+        std::uint64_t term = 0; ///< Term of a command.
     };
 
     std::uint32_t randomInt(std::uint32_t least, std::uint32_t most)
@@ -195,17 +194,17 @@
         if (at == frozen_) {
             return;
         }
-        // Who did not follow the one before does not know where that was.
+        // An agent that did not follow the previous coordinator does not know its rank.
         const bool knowsPredecessor = current_.term > 0 && agentTerms_[at] == current_.term && at != current_.at;
         const std::uint32_t predecessorAt = current_.at;
         const std::uint64_t predecessorTerm = current_.term;
         if (current_.term > 0) {
-            rival_ = current_; // Cut off from some, it goes on all the same.
+            rival_ = current_; // The previous coordinator does not notice its replacement and stays active.
         }
         ++terms_;
         const std::uint64_t versions = options_.mutant == Mutant::ReusedVersions ? 1 : terms_;
-        current_ = {.term = terms_, .change = MapSwitch({.term = versions}), .begunAt = now_, .at = at};
-        current_.heardAt.assign(options_.ranks, BootTime());
+        current_ = {.term = terms_, .change = MapSwitch({.term = versions}), .startedAt = now_, .at = at};
+        current_.reportedAt.assign(options_.ranks, BootTime());
         current_.predecessorAt = predecessorAt;
         if (knowsPredecessor) {
             current_.predecessorTerm = predecessorTerm;
@@ -221,7 +220,7 @@
         if (randomInt(0, 3) == 0) {
             records_[rank] = {};
         } else if (!frozen_) {
-            // Most often the coordinator's: it is the one that gives orders.
+            // Prefer the coordinator's instance, since it sends the orders.
             frozen_ = randomInt(0, 2) > 0 ? current_.at : rank;
             thawsAt_ = now_ + std::chrono::milliseconds(randomInt(50, 3000));
         }
@@ -233,10 +232,10 @@
         for (Engine &engine : engines_) {
             engine = {.highest = engine.highest, .content = engine.content};
         }
-        // Links outlive an epoch, and so does what agents were told.
+        // Links and the agents' records outlive an epoch.
     }
 
-    /** A map whose content is one number. */
+    /** A map with one number as its content. */
     static ExpertMap mapOf(Content content)
     {
         return {{{static_cast<std::uint16_t>(content)}}};
@@ -287,8 +286,8 @@
         SwitchRecord record = records_[rank];
         record.map = engines_[rank].map;
         coordinator.prover.recordSwitch(rank, record);
-        coordinator.change.onPrepareAcknowledged(rank, record.preparedVersion);
-        coordinator.heardAt[rank] = now_;
+        coordinator.change.onPrepareAcknowledged(rank, record.orderedVersion);
+        coordinator.reportedAt[rank] = now_;
     }
 
     void update(Coordinator &coordinator)
@@ -312,7 +311,7 @@
     void applyPredecessorProof(Coordinator &coordinator)
     {
         constexpr std::chrono::milliseconds ProofDelay{120};
-        if (coordinator.change.phase() != MapSwitch::Phase::Unknown || !coordinator.predecessorTerm || now_ - coordinator.begunAt < ProofDelay) {
+        if (coordinator.change.phase() != MapSwitch::Phase::Unknown || !coordinator.predecessorTerm || now_ - coordinator.startedAt < ProofDelay) {
             return;
         }
         const std::uint32_t unreachable = coordinator.predecessorAt;
@@ -353,14 +352,14 @@
     {
         constexpr std::chrono::milliseconds ReportTimeout{400};
         for (std::uint32_t rank = 0; rank < options_.ranks; ++rank) {
-            if (rank != coordinator.at && now_ - coordinator.heardAt[rank] > ReportTimeout) {
+            if (rank != coordinator.at && now_ - coordinator.reportedAt[rank] > ReportTimeout) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A command reaches the agent that is to give the order. */
+    /** Delivers a command to the agent that will send the order. */
     void deliverCommand(const DelayedOrder &command)
     {
         const std::uint32_t senderRank = *command.senderRank;
@@ -375,7 +374,7 @@
         DelayedOrder order{.rank = command.rank, .order = command.order, .epoch = command.epoch};
         SwitchRecord &record = records_[senderRank];
         if (command.order.kind == RankOrderKind::Prepare) {
-            record.preparedVersion = command.order.version;
+            record.orderedVersion = command.order.version;
             record.isFresh = command.order.isFresh;
         }
         if (command.rank == senderRank) {
@@ -389,11 +388,11 @@
             record.peerArm->isAccepted = true;
         }
         if (options_.mutant == Mutant::PeerForgetsArm && randomInt(0, 3) == 0) {
-            record.peerArm.reset(); // It starts again, and vouches all the same.
+            record.peerArm.reset(); // The agent loses its record but still counts as evidence.
         }
     }
 
-    /** What a coordinator would see that takes an order for its effect. */
+    /** Reports a state as if the order had been executed. */
     void assumeExecuted(Coordinator &coordinator, const AddressedOrder &addressed)
     {
         RankState state = stateOf(addressed.rank);
@@ -403,7 +402,7 @@
         coordinator.change.onRankReport(state, now_);
     }
 
-    /** An order reaches an engine, now or later. @return true if it was carried out now, and the engine said so. */
+    /** Delivers an order to an engine, now or later. @return true if it was executed now and the engine has confirmed it. */
     bool deliverOrder(const DelayedOrder &order)
     {
         if (order.rank == frozen_ || randomBool(options_.delayedShare)) {
@@ -426,7 +425,7 @@
         const DelayedOrder delayed = delayed_[index];
         delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(index));
         if (randomInt(0, 4) == 0) {
-            return; // It is lost.
+            return; // The order is lost.
         }
         if (delayed.senderRank) {
             deliverCommand(delayed);
@@ -510,8 +509,8 @@
     std::uint64_t step_ = 0;
     std::vector<Engine> engines_;
     std::vector<std::uint64_t> agentTerms_;
-    std::vector<SwitchRecord> records_; ///< Of the agents.
-    std::optional<std::uint32_t> frozen_; ///< Rank of an instance that can't be reached.
+    std::vector<SwitchRecord> records_; ///< Records of the agents, by rank.
+    std::optional<std::uint32_t> frozen_; ///< Rank of the frozen instance.
     std::optional<BootTime> thawsAt_;
     std::uint64_t proofs_ = 0;
     std::uint64_t terms_ = 0;
@@ -519,7 +518,7 @@
     std::optional<Coordinator> rival_;
     std::vector<DelayedOrder> delayed_;
     std::uint64_t switches_ = 0;
-    bool isRecovering_ = false; ///< No further switch is begun.
+    bool isRecovering_ = false; ///< No further switch is started.
     std::optional<std::string> fault_;
 };
 
--- a/libs/group/tests/grouptasktest.cpp
+++ b/libs/group/tests/grouptasktest.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t Ranks = 3;
 constexpr std::size_t Experts = 6;
 
-/** Engines of one group in lock-step, as they are published to behave. */
+/** Engines of one group that run passes in lock-step, as specified. */
 class FakeGroup
 {
 public:
@@ -55,8 +55,8 @@
         const bool hasBegun = order.step <= step_;
         switch (order.kind) {
         case RankOrderKind::Prepare:
-            if (std::exchange(formsAnewOnOrder, false)) {
-                ++epoch; // With map 0, which is in use anyway.
+            if (std::exchange(formsNewEpochOnOrder, false)) {
+                ++epoch; // The new epoch starts with map 0, which is already in use.
                 return OrderOutcome::Conflict;
             }
             engine.prepared = order.version;
@@ -103,10 +103,10 @@
         return isSplit_;
     }
 
-    std::uint16_t hot = 0; ///< Most choices fall on this expert.
+    std::uint16_t hot = 0; ///< The expert with most choices.
     std::uint64_t epoch = 1;
     std::uint32_t reportedSize = Ranks;
-    bool formsAnewOnOrder = false; ///< As a rank starts again just when it is given an order to prepare.
+    bool formsNewEpochOnOrder = false; ///< Forms a new epoch when an order to prepare arrives, as if a rank restarted at that time.
 
 private:
     static constexpr Duration Pass{20};
@@ -150,7 +150,7 @@
     bool isSplit_ = false;
 };
 
-/** One engine of the group, as its agent or the coordinator speaks with it. */
+/** A port to one engine of the group. */
 class FakePort final : public EnginePort
 {
 public:
@@ -158,24 +158,24 @@
 
     void readState(std::function<void(Result<RankState>)> done) override
     {
-        later([this, done] { done(group_.stateOf(rank_)); });
+        callLater([this, done] { done(group_.stateOf(rank_)); });
     }
     void readCounts(std::function<void(Result<ExpertCounts>)> done) override
     {
-        later([this, done] { done(ExpertCounts{.epoch = group_.epoch, .counts = group_.counts(rank_)}); });
+        callLater([this, done] { done(ExpertCounts{.epoch = group_.epoch, .counts = group_.counts(rank_)}); });
     }
     void readHeldExperts(std::function<void(Result<HeldExperts>)> done) override
     {
-        later([this, done] { done(HeldExperts{.epoch = group_.epoch, .version = group_.stateOf(rank_).mapVersion, .experts = group_.experts(rank_)}); });
+        callLater([this, done] { done(HeldExperts{.epoch = group_.epoch, .version = group_.stateOf(rank_).mapVersion, .experts = group_.experts(rank_)}); });
     }
     void sendOrder(const RankOrder &order, std::function<void(OrderOutcome)> done) override
     {
         const OrderOutcome outcome = group_.order(rank_, order);
-        later([done, outcome] { done(outcome); });
+        callLater([done, outcome] { done(outcome); });
     }
 
 private:
-    void later(std::function<void()> call)
+    void callLater(std::function<void()> call)
     {
         std::erase_if(calls_, [](const std::unique_ptr<Call> &made) { return made->isDone; });
         calls_.push_back(std::make_unique<Call>(loop_, std::move(call)));
@@ -200,7 +200,7 @@
     std::vector<std::unique_ptr<Call>> calls_;
 };
 
-/** The coordinator's row and the members, in memory. */
+/** In-memory store with the coordinator row and the member list. */
 class FakeStore final : public GroupStore
 {
 public:
@@ -228,7 +228,7 @@
 
     CoordinatorRow row;
     std::vector<MemberAddress> members;
-    std::size_t reads = 0; ///< Of the row.
+    std::size_t reads = 0; ///< Reads of the row.
 };
 
 struct GroupTaskFixture {
@@ -275,7 +275,7 @@
         return static_cast<std::size_t>(store.row.holder.back() - '0');
     }
 
-    static constexpr int FirstPort = 27431; ///< Below the ports that the kernel picks.
+    static constexpr int FirstPort = 27431; ///< Below the ephemeral port range.
     http::EventBasePtr loop{event_base_new()};
     observe::Metrics metrics;
     FakeGroup group;
@@ -288,7 +288,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(GroupTaskTest, GroupTaskFixture)
 
-BOOST_AUTO_TEST_CASE(demand_skewed_mapIsChangedWithoutASplit)
+BOOST_AUTO_TEST_CASE(demand_skewed_mapIsChangedOnAllRanksInTheSamePass)
 {
     BOOST_TEST(runUntil([this] { return group.map() != 0; }));
     BOOST_TEST(!group.isSplit());
@@ -300,7 +300,7 @@
     BOOST_TEST(holders >= 2U);
 }
 
-// Guards against coordinators that end one after the other, since a first epoch with the number 0 is not taken for new.
+// Guards against coordinators that fail one after another because a first epoch with number 0 is not recognised as new.
 BOOST_AUTO_TEST_CASE(group_openInEpochZero_mapIsChanged)
 {
     group.epoch = 0;
@@ -308,17 +308,17 @@
     BOOST_TEST(!group.isSplit());
 }
 
-// Guards against a map that is never changed again, since the first state of a new epoch was read after an order and the experts of the old one are kept.
-BOOST_AUTO_TEST_CASE(group_formsAnewWhileAnOrderIsGiven_mapIsChangedAgain)
+// Guards against a map that is never changed again because the first state of a new epoch was read after an order and the experts of the old epoch were kept.
+BOOST_AUTO_TEST_CASE(group_formsNewEpochDuringAnOrder_mapIsChangedAgain)
 {
-    group.formsAnewOnOrder = true;
+    group.formsNewEpochOnOrder = true;
     BOOST_REQUIRE(runUntil([this] { return group.epoch == 2; }));
     BOOST_TEST(runUntil([this] { return group.map() != 0; }));
     BOOST_TEST(!group.isSplit());
 }
 
-// Guards against maps that are no longer changed after a coordinator has ended, since no agent can take its place.
-BOOST_AUTO_TEST_CASE(coordinator_dies_anotherTakesOverAndChangesTheMap)
+// Guards against maps that are no longer changed after a coordinator has exited because no agent can replace it.
+BOOST_AUTO_TEST_CASE(coordinator_exits_anotherTakesOverAndChangesTheMap)
 {
     BOOST_REQUIRE(runUntil([this] { return group.map() != 0; }));
     const std::uint64_t term = store.row.term;
@@ -326,7 +326,7 @@
     BOOST_TEST(runUntil([this, term] { return store.row.term > term; }));
     const std::uint64_t map = group.map();
     group.hot = 4;
-    // It is started again: with three ranks one silent agent is too many for engines to be addressed directly.
+    // Restart it: among three ranks, one unresponsive agent is too many for direct access to engines.
     for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
         if (agents[rank] == nullptr) {
             agents[rank] = start(rank, store.members[rank].agentAddress);
@@ -336,8 +336,8 @@
     BOOST_TEST(!group.isSplit());
 }
 
-// Guards against a division by zero when an engine reports a group of no ranks and no coordinator is heard of.
-BOOST_AUTO_TEST_CASE(engine_reportsAGroupOfNoRanks_agentGoesOn)
+// Guards against a division by zero when an engine reports a group size of 0 and there is no coordinator.
+BOOST_AUTO_TEST_CASE(engine_reportsGroupSizeZero_agentContinues)
 {
     group.reportedSize = 0;
     const BootTime end = BootClock::now() + 1s;
@@ -347,8 +347,8 @@
     BOOST_TEST(!group.isSplit());
 }
 
-// Guards against a lost coordinator being replaced by several in turn, each of which undoes what the last has begun.
-BOOST_AUTO_TEST_CASE(coordinator_dies_onlyTheNextRankAsksTheStore)
+// Guards against several agents replacing a lost coordinator in turn, each undoing the previous one's switch.
+BOOST_AUTO_TEST_CASE(coordinator_exits_onlyTheNextRankReadsTheStore)
 {
     BOOST_REQUIRE(runUntil([this] { return group.map() != 0; }));
     const std::size_t lost = coordinator();
--- a/libs/group/tests/mapassemblertest.cpp
+++ b/libs/group/tests/mapassemblertest.cpp
@@ -7,18 +7,18 @@
 
 BOOST_AUTO_TEST_SUITE(MapAssemblerTest)
 
-BOOST_AUTO_TEST_CASE(ranks_allOfOneVersion_areJoined)
+BOOST_AUTO_TEST_CASE(ranks_allOfOneVersion_areAssembled)
 {
     MapAssembler assembler;
     assembler.setRank(1, 7, {{2}, {0}});
-    BOOST_TEST(!assembler.assemble(2).has_value()); // One is missing.
+    BOOST_TEST(!assembler.assemble(2).has_value()); // Rank 0 is missing.
     assembler.setRank(0, 7, {{0, 1}, {1, 2}});
     BOOST_TEST((assembler.assemble(2).value() == ExpertMap{{{0, 1}, {2}}, {{1, 2}, {0}}}));
     BOOST_TEST(assembler.version() == 7U);
 }
 
-// A switch is seen at some ranks before others: what is put together from two maps is neither.
-BOOST_AUTO_TEST_CASE(ranks_ofTwoVersions_areNotJoined)
+// Guards against a map assembled from two versions, since some ranks report a switch before others.
+BOOST_AUTO_TEST_CASE(ranks_ofTwoVersions_areNotAssembled)
 {
     MapAssembler assembler;
     assembler.setRank(0, 7, {{0, 1}});
@@ -26,16 +26,16 @@
     BOOST_TEST(!assembler.assemble(2).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(oneRank_absent_holdsWhatNoOtherDoes)
+BOOST_AUTO_TEST_CASE(oneRank_absent_getsTheExpertsThatNoOtherHolds)
 {
     MapAssembler assembler;
     assembler.setRank(0, 7, {{0, 1}});
     assembler.setRank(2, 7, {{1, 4}});
     BOOST_TEST((assembler.assembleWithout(1, 3, 5).value() == ExpertMap{{{0, 1}, {2, 3}, {1, 4}}}));
-    BOOST_TEST(!assembler.assembleWithout(0, 3, 5).has_value()); // It is not the one that is absent.
+    BOOST_TEST(!assembler.assembleWithout(0, 3, 5).has_value()); // Rank 0 is not the absent one.
 }
 
-BOOST_AUTO_TEST_CASE(news_takenOnce_areNoNewsAnyMore)
+BOOST_AUTO_TEST_CASE(change_takenOnce_isNotReportedAgain)
 {
     MapAssembler assembler;
     assembler.setRank(0, 7, {{0}});
--- a/libs/group/tests/mapcodectest.cpp
+++ b/libs/group/tests/mapcodectest.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t Sets = 12;
 constexpr std::size_t Experts = 256;
 
-/** The map that a group forms with, experts in turn, and a further expert at each place that has room. */
+/** The map that a group forms with (experts assigned round-robin), with one additional expert in each list. */
 ExpertMap mapOf(std::size_t ranks, std::uint16_t further)
 {
     ExpertMap map(Sets, std::vector<std::vector<std::uint16_t>>(ranks));
@@ -45,14 +45,14 @@
 
 BOOST_AUTO_TEST_SUITE(MapCodecTest)
 
-BOOST_AUTO_TEST_CASE(map_ofAnyShape_survives)
+BOOST_AUTO_TEST_CASE(map_ofAnyShape_roundTrips)
 {
     for (const ExpertMap &map : {ExpertMap{}, ExpertMap{{}}, ExpertMap{{{}}}, ExpertMap{{{1, 2}, {3}}, {{300, 65535}, {}}}}) {
         BOOST_TEST((decodeMap(encodeMap(map)).value() == map));
     }
 }
 
-BOOST_AUTO_TEST_CASE(change_ofFirstLastAndNeighbouringPlaces_leadsToTheMap)
+BOOST_AUTO_TEST_CASE(delta_ofFirstLastAndNeighbouringLists_givesTheMap)
 {
     const ExpertMap base{{{0, 1}, {2, 3}, {4}}, {{0}, {1, 2}, {3, 4}}};
     for (const ExpertMap &map : {base,
@@ -63,9 +63,8 @@
     }
 }
 
-// Symptom: a group would run a pass on two maps that differ in the order of experts only. Sequence: some ranks were told a map whole, others as a change of
-// a map whose lists were in another order. Cause: each form left the lists in an order of its own.
-BOOST_AUTO_TEST_CASE(map_toldWholeOrAsAChange_isTheSameEverywhere)
+// Guards against ranks with maps that differ in the order of experts: some got the full map, others a delta to a map whose lists were ordered differently.
+BOOST_AUTO_TEST_CASE(map_sentInFullOrAsADelta_isTheSame)
 {
     const ExpertMap base{{{5, 0}, {3, 2}}};
     const ExpertMap map{{{5, 0}, {2, 4}}};
@@ -73,7 +72,7 @@
     BOOST_TEST((applyMapDelta(base, encodeMapDelta(base, map)).value() == whole));
 }
 
-BOOST_AUTO_TEST_CASE(change_ofAnotherShape_isNotMadeOrTaken)
+BOOST_AUTO_TEST_CASE(delta_betweenDifferentShapes_isNeitherEncodedNorApplied)
 {
     BOOST_TEST(encodeMapDelta({{{0}, {1}}}, {{{0, 1}}}).empty());
     const std::string change = encodeMapDelta({{{0}, {1}}}, {{{0}, {0}}});
@@ -81,7 +80,7 @@
     BOOST_TEST(!applyMapDelta({{{0}, {1}, {2}}}, change).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(bytes_cutShortOrSpoilt_areRefused)
+BOOST_AUTO_TEST_CASE(bytes_truncatedOrCorrupt_areRejected)
 {
     const std::string whole = encodeMap({{{1, 2}, {3}}});
     for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -89,24 +88,23 @@
     }
     BOOST_TEST(!decodeMap(packedOf({1, 1, 200, 1})).has_value()); // More experts than bytes.
     BOOST_TEST(!decodeMap(packedOf({1, 1, 1, 70000})).has_value()); // No expert has that number.
-    BOOST_TEST(!decodeMap(packedOf({1, 1, 1, 7, 7})).has_value()); // Something is left.
-    BOOST_TEST(!applyMapDelta({{{1}}}, packedOf({0})).has_value()); // No distance is 0.
+    BOOST_TEST(!decodeMap(packedOf({1, 1, 1, 7, 7})).has_value()); // Trailing data.
+    BOOST_TEST(!applyMapDelta({{{1}}}, packedOf({0})).has_value()); // A distance of 0 is invalid.
     PackedWriter header;
     header.put(std::uint64_t(1) << 40U);
-    BOOST_TEST(!decodeMap(header.packed().substr(0, 3) + std::string(6, '\xff')).has_value()); // Larger than any map.
+    BOOST_TEST(!decodeMap(header.packed().substr(0, 3) + std::string(6, '\xff')).has_value()); // Exceeds the size limit.
 }
 
-BOOST_AUTO_TEST_CASE(counts_small_surviveAsTheyAre)
+BOOST_AUTO_TEST_CASE(counts_small_roundTripExactly)
 {
     const std::vector<std::uint64_t> counts{0, 1, 2, 3, 7, 9};
     BOOST_TEST(decodeCounts(encodeCounts(counts)).value() == counts, boost::test_tools::per_element());
     BOOST_TEST(decodeCounts(encodeCounts({})).value().empty());
 }
 
-// Symptom: changes of map took seconds while many prompts were read, on a group of 64 ranks. Sequence: every rank told what its requests had chosen of 3,072
-// experts; with many prompts each count took two bytes, and all reports together took most of the coordinator's network interface, where its orders wait too.
-// Cause: reports grow with the load, the interface does not.
-BOOST_AUTO_TEST_CASE(counts_ofBusyRanks_takeNoMoreThanAFewBitsEach)
+// Guards against reports that grow with the load: in a group of 64 ranks, each rank reported counts of 3,072 experts. With many prompts each count took two
+// bytes, all reports together used most of the coordinator's network interface, which its orders share, and map switches took seconds.
+BOOST_AUTO_TEST_CASE(counts_ofBusyRanks_takeAFewBitsEach)
 {
     std::vector<std::uint64_t> counts(Sets * Experts);
     std::uint64_t total = 0;
@@ -123,8 +121,8 @@
     }
 }
 
-// What a coordinator sends for one change grows with what changed, and neither with the ranks nor with the size of the map.
-BOOST_DATA_TEST_CASE(change_ofFewPlaces_isAsSmallInAnyGroup, boost::unit_test::data::make({24, 64, 128}), ranks)
+// The size of a delta depends on the number of changes, not on the number of ranks or the size of the map.
+BOOST_DATA_TEST_CASE(delta_ofFewLists_isEquallySmallInAnyGroup, boost::unit_test::data::make({24, 64, 128}), ranks)
 {
     constexpr std::size_t Changed = 128;
     constexpr std::size_t BytesForEach = 6;
@@ -140,7 +138,7 @@
     BOOST_TEST(encodeMapDelta(base, map).size() <= Changed * BytesForEach + Frame);
 }
 
-BOOST_AUTO_TEST_CASE(knownMaps_changeGivenUp_theOneInUseIsKept)
+BOOST_AUTO_TEST_CASE(knownMaps_switchAbandoned_mapInUseIsKept)
 {
     KnownMaps known;
     known.add(5, ExpertMap{{{0}}}, 0);
--- a/libs/group/tests/mapswitchtest.cpp
+++ b/libs/group/tests/mapswitchtest.cpp
@@ -41,7 +41,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MapSwitchTest, MapSwitchFixture)
 
-BOOST_AUTO_TEST_CASE(oneRank_hasNotReported_nothingIsBegun)
+BOOST_AUTO_TEST_CASE(oneRank_hasNotReported_switchIsNotIdle)
 {
     mapSwitch.onRankReport(states[0], now);
     BOOST_TEST(!mapSwitch.isIdle());
@@ -49,9 +49,9 @@
     BOOST_TEST(mapSwitch.isIdle());
 }
 
-// Symptom: the bytes of one change of map grew without end. Sequence: the map was given to every rank again each 400 ms, while the first copies of it
-// still waited on the coordinator's network interface. Cause: an order that was not reported as carried out counted as lost.
-BOOST_AUTO_TEST_CASE(map_toldButNotYetPrepared_isNotToldAgainSoon)
+// Guards against unbounded retries of a map: an order whose effect was not reported counted as lost. The map was sent to every rank again every 400 ms while
+// the first copies were still queued on the coordinator's network interface.
+BOOST_AUTO_TEST_CASE(map_sentButNotYetPrepared_isNotSentAgainSoon)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
@@ -60,11 +60,11 @@
     const auto again = mapSwitch.takeDueOrders(now + 500ms);
     BOOST_REQUIRE(again.size() == 1U);
     BOOST_TEST(again[0].rank == 1U);
-    BOOST_TEST(mapSwitch.takeDueOrders(now + 1000ms).empty()); // Doubled: the interface may be busy with the first ones.
-    BOOST_TEST(mapSwitch.takeDueOrders(now + 1400ms).size() == 2U); // The engine may have forgotten it.
+    BOOST_TEST(mapSwitch.takeDueOrders(now + 1000ms).empty()); // The delay has doubled, since the interface may be busy with the first ones.
+    BOOST_TEST(mapSwitch.takeDueOrders(now + 1400ms).size() == 2U); // The engine may have lost it.
 }
 
-BOOST_AUTO_TEST_CASE(switch_allGoesWell_holdsArmsAndReleasesInThatOrder)
+BOOST_AUTO_TEST_CASE(switch_noFaults_holdsArmsAndReleasesInThatOrder)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
@@ -102,7 +102,7 @@
     BOOST_TEST(mapSwitch.isIdle());
 }
 
-BOOST_AUTO_TEST_CASE(oneRank_cantBeArmed_allIsUndoneBeforeTheRelease)
+BOOST_AUTO_TEST_CASE(oneRank_cannotBeArmed_switchIsUndoneBeforeTheRelease)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
@@ -121,7 +121,7 @@
     states[1].preparedVersion = undo[1].order.version;
     states[0].armed.reset();
     reportAll([](RankState &) {});
-    // Disarmed is not enough: an order to arm that is still on its way would find the map prepared.
+    // Disarming is not enough: a pending order to arm would still find the map prepared.
     const auto replace = takeDueOrders();
     BOOST_REQUIRE(replace.size() == 1U);
     BOOST_TEST((replace[0].order.kind == RankOrderKind::Prepare));
@@ -153,10 +153,10 @@
     BOOST_TEST((mapSwitch.phase() == MapSwitch::Phase::Undoing));
 }
 
-BOOST_AUTO_TEST_CASE(idleGroup_lateHoldIsCarriedOut_isReleased)
+BOOST_AUTO_TEST_CASE(idleGroup_lateHoldIsExecuted_isReleased)
 {
-    // Symptom: a group stood still for good. Sequence: an order to hold got no answer, was given again for a later pass, and
-    // the first was carried out seconds later. Cause: a hold never expires, and nobody waited for this one.
+    // Guards against a group that stays held for ever: an unanswered order to hold was repeated for a later pass, and the first one was executed seconds later.
+    // A hold never expires, and no switch was waiting for this one.
     mapSwitch.setFallbackMap({{{1}, {2}}});
     reportAll([](RankState &) {});
     states[1].heldStep = 30;
@@ -174,7 +174,7 @@
     BOOST_TEST(isReleased);
 }
 
-BOOST_AUTO_TEST_CASE(undo_mapInUseNotKnownYet_noEmptyMapIsPrepared)
+BOOST_AUTO_TEST_CASE(undo_mapInUseUnknown_noEmptyMapIsPrepared)
 {
     states[1].heldStep = 30;
     reportAll([](RankState &) {});
@@ -186,7 +186,7 @@
     BOOST_TEST(!orders[0].order.map.empty());
 }
 
-BOOST_AUTO_TEST_CASE(pass_beganBeforeItsHold_laterOneIsHeld)
+BOOST_AUTO_TEST_CASE(pass_beganBeforeItsHold_laterPassIsHeld)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
@@ -198,7 +198,7 @@
     BOOST_TEST(again[0].order.step > first);
 }
 
-BOOST_AUTO_TEST_CASE(newEpoch_inASwitch_endsIt)
+BOOST_AUTO_TEST_CASE(newEpoch_duringASwitch_endsTheSwitch)
 {
     reportAll([](RankState &) {});
     mapSwitch.begin({{{1}, {2}}}, {{{1}, {2}}}, now);
@@ -206,11 +206,11 @@
     BOOST_TEST(mapSwitch.isIdle());
     BOOST_TEST(takeDueOrders().empty());
     states[0].epoch = 1;
-    mapSwitch.onRankReport(states[0], now); // Late: of the epoch before.
+    mapSwitch.onRankReport(states[0], now); // A late report of the previous epoch.
     BOOST_TEST(mapSwitch.epoch() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(terms_differ_versionsDo)
+BOOST_AUTO_TEST_CASE(terms_differ_versionsDiffer)
 {
     MapSwitch successor({.term = 6});
     for (const RankState &state : states) {
@@ -240,7 +240,7 @@
 
 const std::vector<SimulationSize> SimulationSizes{{2, 3000, 600}, {3, 2000, 800}, {12, 300, 2000}, {24, 80, 3000}, {64, 400, 12000}};
 
-/** @return 1 if one of the runs ended in a pass on two maps; the others are not needed then. */
+/** @return 1 if a run ended in a pass on two maps, which ends the search; otherwise 0. */
 int faultyRuns(Mutant mutant, SimulationSize size)
 {
     int faulty = 0;
@@ -258,8 +258,8 @@
 
 BOOST_AUTO_TEST_SUITE(GroupSimulationTest)
 
-// Orders late, lost and doubled, coordinators replaced while they go on, groups formed anew, at any point.
-BOOST_DATA_TEST_CASE(group_anythingGoesWrong_noPassOnTwoMapsAndItGoesOn, boost::unit_test::data::make(SimulationSizes), size)
+// Delays, loses and duplicates orders, replaces coordinators that stay active, and starts new epochs, at random points.
+BOOST_DATA_TEST_CASE(group_randomFaults_noPassOnTwoMapsAndItRecovers, boost::unit_test::data::make(SimulationSizes), size)
 {
     std::uint64_t switches = 0;
     std::uint64_t proofs = 0;
@@ -269,46 +269,46 @@
             simulation.step();
         }
         BOOST_REQUIRE_MESSAGE(!simulation.fault(), "seed " << run + 1 << ": " << *simulation.fault());
-        BOOST_REQUIRE_MESSAGE(simulation.recovers(), "seed " << run + 1 << ": the group does not go on");
+        BOOST_REQUIRE_MESSAGE(simulation.recovers(), "seed " << run + 1 << ": the group does not recover");
         switches += simulation.switches();
         proofs += simulation.proofs();
     }
     BOOST_TEST(switches > static_cast<std::uint64_t>(size.runs));
     BOOST_TEST(proofs > 0U);
-    BOOST_TEST_MESSAGE(size << ": " << switches << " switches, " << proofs << " times on the others' word");
+    BOOST_TEST_MESSAGE(size << ": " << switches << " switches, " << proofs << " proven states");
 }
 
-BOOST_AUTO_TEST_CASE(coordinator_takesOrdersForTheirEffect_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_assumesOrdersExecuted_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::AssumesOrdersExecuted, {2, 300, 600}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(successor_usesVersionsAgain_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_reusesVersions_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::ReusedVersions, {3, 2000, 2000}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(coordinator_armsItsOwnRank_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_coordinatorArmsItsOwnRank_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::CoordinatorArmsOwnRank, {3, 4000, 2000}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(deputy_forgetsAndVouches_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_peerForgetsItsArmOrder_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::PeerForgetsArm, {3, 20000, 3000}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(changeThatUndoes_countsAsFresh_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_undoIsMarkedFresh_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::UndoMarkedFresh, {3, 40000, 3000}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(rankOutOfReach_isGuessedUnarmed_splitsTheGroup)
+BOOST_AUTO_TEST_CASE(mutant_unreachableRankIsAssumedUnarmed_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::AssumesUnarmed, {3, 4000, 2000}) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(agents_heedReplacedCoordinators_groupSplits)
+BOOST_AUTO_TEST_CASE(mutant_agentsIgnoreTerms_runsAPassOnTwoMaps)
 {
     BOOST_TEST(faultyRuns(Mutant::IgnoresTerms, {3, 2000, 2000}) > 0);
 }
--- a/libs/group/tests/replicaplannertest.cpp
+++ b/libs/group/tests/replicaplannertest.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t Experts = 96;
 
 struct ReplicaPlannerFixture {
-    static ExpertMap inTurn(std::size_t sets)
+    static ExpertMap roundRobinMap(std::size_t sets)
     {
         ExpertMap map(sets, std::vector<std::vector<std::uint16_t>>(Ranks));
         for (auto &set : map) {
@@ -28,8 +28,8 @@
         return map;
     }
 
-    /** Shares that fall as one over the place to a power, the places drawn by the seed. */
-    static std::vector<std::vector<double>> skewed(std::size_t sets, unsigned seed)
+    /** Zipf-like shares in an order that is shuffled by the seed. */
+    static std::vector<std::vector<double>> zipfShares(std::size_t sets, unsigned seed)
     {
         std::vector<std::vector<double>> all;
         std::mt19937 random(seed);
@@ -49,7 +49,7 @@
         return all;
     }
 
-    static std::size_t newOf(const ExpertMap &before, const ExpertMap &after, std::size_t set, std::size_t rank)
+    static std::size_t copiesTo(const ExpertMap &before, const ExpertMap &after, std::size_t set, std::size_t rank)
     {
         const std::set<std::uint16_t> had(before[set][rank].begin(), before[set][rank].end());
         std::size_t count = 0;
@@ -70,15 +70,15 @@
 BOOST_AUTO_TEST_CASE(demand_even_nothingIsChanged)
 {
     const std::vector<std::vector<double>> even(3, std::vector<double>(Experts, 1.0 / Experts));
-    BOOST_TEST(std::abs(ReplicaPlanner::load(inTurn(3), even) - 3) < 1e-9);
-    BOOST_TEST(!planner.plan(inTurn(3), even).has_value());
+    BOOST_TEST(std::abs(ReplicaPlanner::load(roundRobinMap(3), even) - 3) < 1e-9);
+    BOOST_TEST(!planner.plan(roundRobinMap(3), even).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(demand_skewed_loadFallsWithinTheBounds)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        const ExpertMap before = inTurn(3);
-        const auto shares = skewed(3, seed);
+        const ExpertMap before = roundRobinMap(3);
+        const auto shares = zipfShares(3, seed);
         const auto plan = planner.plan(before, shares);
         BOOST_REQUIRE(plan.has_value());
         BOOST_TEST(plan->loadAfter < plan->loadBefore * 0.75);
@@ -87,19 +87,19 @@
             std::size_t copies = 0;
             for (std::size_t set = 0; set < 3; ++set) {
                 BOOST_TEST(plan->map[set][rank].size() <= options.maxExpertsPerRank);
-                BOOST_TEST(newOf(before, plan->map, set, rank) <= options.maxCopiesPerSet);
-                copies += newOf(before, plan->map, set, rank);
+                BOOST_TEST(copiesTo(before, plan->map, set, rank) <= options.maxCopiesPerSet);
+                copies += copiesTo(before, plan->map, set, rank);
             }
             BOOST_TEST(copies <= options.maxCopiesPerRank);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(changes_oneAfterTheOther_everyExpertKeepsARank)
+BOOST_AUTO_TEST_CASE(changes_inSequence_everyExpertKeepsARank)
 {
-    ExpertMap map = inTurn(3);
+    ExpertMap map = roundRobinMap(3);
     for (unsigned seed = 1; seed <= 30; ++seed) {
-        if (auto plan = planner.plan(map, skewed(3, seed))) {
+        if (auto plan = planner.plan(map, zipfShares(3, seed))) {
             map = std::move(plan->map);
         }
         for (const auto &set : map) {
@@ -113,10 +113,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(demand_stays_changesComeToAnEnd)
+BOOST_AUTO_TEST_CASE(demand_constant_planningTerminates)
 {
-    ExpertMap map = inTurn(3);
-    const auto shares = skewed(3, 7);
+    ExpertMap map = roundRobinMap(3);
+    const auto shares = zipfShares(3, 7);
     int changes = 0;
     while (auto plan = planner.plan(map, shares)) {
         map = std::move(plan->map);
@@ -125,21 +125,21 @@
     BOOST_TEST(ReplicaPlanner::load(map, shares) < 3 * 1.35);
 }
 
-BOOST_AUTO_TEST_CASE(slowRank_otherRanksHavePlaces_isLeftWithoutExpertsAndGetsThemBack)
+BOOST_AUTO_TEST_CASE(slowRank_otherRanksHaveCapacity_losesItsExpertsAndGetsThemBack)
 {
-    // Symptom: one engine of twelve, five times slower for 10 s, made two thirds of all streams late or refused. Sequence: it
-    // kept its experts. Cause: all ranks run each pass together, and placements weighed work but not how fast a rank does it.
+    // Guards against a slow rank that delays the whole group: all ranks run each pass together, and placement weighed only the work, not the pace of a rank.
+    // One engine of twelve, five times slower for 10 s, kept its experts and made two thirds of all streams late or refused.
     constexpr double Slow = 5;
-    const auto shares = skewed(3, 3);
+    const auto shares = zipfShares(3, 3);
     std::vector<double> paces(Ranks, 1.0);
     paces[4] = Slow;
-    ExpertMap map = inTurn(3);
+    ExpertMap map = roundRobinMap(3);
     int changes = 0;
     while (auto plan = planner.plan(map, shares, paces)) {
         map = std::move(plan->map);
         BOOST_REQUIRE(++changes < 20);
     }
-    // Eleven ranks do the work of twelve; the slow one would alone take five times an even part.
+    // Eleven ranks do the work of twelve. With an even share the slow rank would take five times as long.
     BOOST_TEST(ReplicaPlanner::load(map, shares, paces) < 3 * 1.5);
     for (const auto &set : map) {
         double share = 0;
@@ -156,9 +156,9 @@
     BOOST_TEST(ReplicaPlanner::load(map, shares, paces) < 3 * 1.35);
 }
 
-BOOST_AUTO_TEST_CASE(hotReplica_othersHoldItToo_isLeftToThemWithoutACopy)
+BOOST_AUTO_TEST_CASE(hotReplica_othersHoldItToo_isDroppedWithoutACopy)
 {
-    // Two ranks hold expert 0; on the first of them all else is hot too, so that it is better off without its replica.
+    // Ranks 0 and 1 hold expert 0. The other expert of rank 0 is hot too, so dropping the replica there lowers the load.
     const ExpertMap map{{{0, 1}, {0}, {2}}};
     const std::vector<std::vector<double>> shares{{0.4, 0.5, 0.1}};
     ReplicaPlanner::Options none = options;
@@ -169,11 +169,11 @@
     BOOST_TEST((plan->map == ExpertMap{{{1}, {0}, {2}}}));
 }
 
-BOOST_AUTO_TEST_CASE(gain_belowTheLeast_isNotWorthACopy)
+BOOST_AUTO_TEST_CASE(gain_belowTheMinimum_nothingIsPlanned)
 {
     ReplicaPlanner::Options strict = options;
     strict.minGain = 0.99;
-    BOOST_TEST(!ReplicaPlanner(strict).plan(inTurn(3), skewed(3, 1)).has_value());
+    BOOST_TEST(!ReplicaPlanner(strict).plan(roundRobinMap(3), zipfShares(3, 1)).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
