--- a/libs/group/include/group/engineport.h
+++ b/libs/group/include/group/engineport.h
@@ -18,7 +18,7 @@
 struct ExpertCounts {
     std::uint64_t epoch = 0;
     std::vector<std::uint64_t> counts; ///< All experts of the first set, then all of the second, and so on.
-    std::uint64_t incarnation = 0; ///< Of the engine, as RankState::incarnation.
+    std::uint64_t incarnation = 0; ///< Incarnation of the engine, as RankState::incarnation.
 };
 
 /** The experts that a rank holds under the map in use. */
--- a/libs/group/include/group/mapswitch.h
+++ b/libs/group/include/group/mapswitch.h
@@ -55,13 +55,13 @@
 {
 public:
     struct Options {
-        std::uint64_t term = 0; ///< Of this coordinator; unique.
+        std::uint64_t term = 0; ///< Term of this coordinator; unique.
         std::uint64_t stepsAhead = 2; ///< Passes from the last one to S. Leaves time for holding and arming without stalling the group.
         Duration orderRetry{30}; ///< Delay before an order is repeated if its effect was not reported. Short because the group may be held, and executing an
                                  ///< order twice is harmless.
-        /** The same for a prepare order, doubled with each try: it carries a large map that may still be queued on the network interface. */
+        /** Delay before an order to prepare is repeated, doubled with each try: it carries a large map that may still be queued on the network interface. */
         Duration prepareRetry{400};
-        /** The same for a rank whose agent has acknowledged the map: its engine is copying, or the agent itself repeats the order. */
+        /** Delay before an acknowledged order to prepare is repeated: the engine is copying, or its agent repeats the order to it. */
         Duration acknowledgedRetry{1200};
         Duration prepareLimit{6000}; ///< Time after which preparing is abandoned, since demand has changed by then.
         Duration armLimit{1200}; ///< Time after which the switch is undone, since the group makes no passes meanwhile.
@@ -139,7 +139,7 @@
     {
         return phase_ == Phase::Preparing ? version_ : phase_ == Phase::Undoing ? undoVersion_ : 0;
     }
-    std::uint64_t version() const ///< Of the map of the current or, when idle, the last switch.
+    std::uint64_t version() const ///< Version of the map of the current or, when idle, the last switch.
     {
         return version_;
     }
--- a/libs/group/include/group/rankstate.h
+++ b/libs/group/include/group/rankstate.h
@@ -83,10 +83,10 @@
 struct RankOrder {
     RankOrderKind kind = RankOrderKind::Heartbeat;
     std::uint64_t epoch = 0;
-    std::uint64_t version = 0; ///< Of Prepare, Arm and Disarm.
-    std::uint64_t step = 0; ///< Of Arm, Hold and Release.
-    SharedMap map{}; ///< Of Prepare.
-    bool isFresh = false; ///< Of Prepare: no rank was armed or held when the switch began.
+    std::uint64_t version = 0; ///< Map version; used by Prepare, Arm and Disarm.
+    std::uint64_t step = 0; ///< Pass; used by Arm, Hold and Release.
+    SharedMap map{}; ///< The map to prepare; used by Prepare.
+    bool isFresh = false; ///< Used by Prepare: no rank was armed or held when the switch began.
 };
 
 /** An order to arm that an agent sent to the engine of another rank. */
--- a/libs/group/src/mapswitch.cpp
+++ b/libs/group/src/mapswitch.cpp
@@ -144,7 +144,7 @@
     return std::all_of(ranks_.begin(), ranks_.end(), [&condition](const Member &member) { return condition(*member.state); });
 }
 
-/** The same for the ranks whose state is reported, not proven. */
+/** Whether a condition holds for all ranks whose state is reported, not proven. */
 template<typename Condition>
 bool MapSwitch::allReporting(Condition condition) const
 {
