--- a/libs/group/benchmarks/coordinatorcost.cpp
+++ b/libs/group/benchmarks/coordinatorcost.cpp
@@ -1,8 +1,8 @@
-// Prints what a coordinator does for one change of map, and what it does for one report of a rank, by size of the group: the
-// processor time of each part, and the bytes that one agent is told.
+// Measures the cost of one map switch and of one rank report for a coordinator, by group size: the processor time of each part, and the bytes sent to one
+// agent.
 #include "group/replicaplanner.h"
 #include "mapcodec.h"
-#include "mapcourier.h"
+#include "mapencoder.h"
 
 #include <algorithm>
 #include <chrono>
@@ -22,15 +22,15 @@
 struct Shape {
     std::size_t ranks = 0;
     std::size_t sets = 0;
-    std::size_t experts = 96; ///< In each set.
-    std::size_t places = 0; ///< Of each rank in each set.
-    std::size_t copiesPerRank = 1; ///< In one change of map.
+    std::size_t experts = 96; ///< Number of experts in each set.
+    std::size_t places = 0; ///< Experts that a rank can hold in each set.
+    std::size_t copiesPerRank = 1; ///< Copies in one map switch.
 };
 
-/** The map that a group forms with: experts in turn. */
-RankExperts firstMap(const Shape &shape)
+/** The map that a group forms with: experts are assigned round-robin. */
+ExpertMap firstMap(const Shape &shape)
 {
-    RankExperts map(shape.sets, std::vector<std::vector<std::uint16_t>>(shape.ranks));
+    ExpertMap map(shape.sets, std::vector<std::vector<std::uint16_t>>(shape.ranks));
     for (auto &set : map) {
         for (std::size_t expert = 0; expert < shape.experts; ++expert) {
             set[expert % shape.ranks].push_back(static_cast<std::uint16_t>(expert));
@@ -39,7 +39,7 @@
     return map;
 }
 
-/** Popularity falls with the rank of an expert in each set's own order, as choices of experts do. */
+/** Zipf-like demand: the share of an expert falls with its position in an order that differs by set. */
 std::vector<std::vector<double>> demandOf(const Shape &shape)
 {
     std::vector<std::vector<double>> demand(shape.sets, std::vector<double>(shape.experts));
@@ -74,23 +74,23 @@
 void measure(const Shape &shape)
 {
     const std::string name = std::to_string(shape.ranks) + "_ranks_" + std::to_string(shape.sets) + "_sets_" + std::to_string(shape.experts) + "_experts";
-    const RankExperts map = firstMap(shape);
+    const ExpertMap map = firstMap(shape);
     const auto demand = demandOf(shape);
-    const ReplicaPlanner planner({.placesPerRank = shape.places, .mostNewPerSet = 2, .mostNewPerRank = shape.copiesPerRank, .leastGain = 0.01});
+    const ReplicaPlanner planner({.maxExpertsPerRank = shape.places, .maxCopiesPerSet = 2, .maxCopiesPerRank = shape.copiesPerRank, .minGain = 0.01});
     const auto plan = planner.plan(map, demand);
     if (!plan) {
         std::abort();
     }
-    MapCourier courier;
-    courier.setBase(1, map);
-    const MapCourier::Form form = courier.formFor({.kind = RankOrderKind::Prepare, .version = 2, .map = plan->map}, 1);
+    MapEncoder encoder;
+    encoder.setBase(1, map);
+    const MapEncoder::Encoding encoding = encoder.encode({.kind = RankOrderKind::Prepare, .version = 2, .map = plan->map}, 1);
     const std::vector<std::uint64_t> counts(shape.sets * shape.experts, 300);
-    const std::string told = encodeCounts(counts);
+    const std::string encoded = encodeCounts(counts);
     std::printf("RESULT coordinator_plan_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)planner.plan(map, demand); }));
     std::printf("RESULT coordinator_look_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)ReplicaPlanner::load(map, demand); }));
-    std::printf("RESULT coordinator_counts_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)decodeCounts(told); }));
+    std::printf("RESULT coordinator_counts_%s %.0f us\n", name.c_str(), microsecondsOf([&] { (void)decodeCounts(encoded); }));
     std::printf("RESULT coordinator_whole_map_%s %zu bytes\n", name.c_str(), encodeMap(plan->map).size());
-    std::printf("RESULT coordinator_change_of_map_%s %zu bytes\n", name.c_str(), form.map.size());
+    std::printf("RESULT coordinator_change_of_map_%s %zu bytes\n", name.c_str(), encoding.map.size());
 }
 
 } // namespace
--- a/libs/group/src/coordinator.h
+++ b/libs/group/src/coordinator.h
@@ -2,19 +2,19 @@
 #define MAGNOLIA_GROUP_COORDINATOR_H
 
 #include "bulkpacer.h"
+#include "group/armedstateprover.h"
 #include "group/changepolicy.h"
+#include "group/directaccesspolicy.h"
 #include "group/engineport.h"
 #include "group/expertdemand.h"
 #include "group/grouptask.h"
 #include "group/mapswitch.h"
-#include "group/rankreach.h"
-#include "group/rankwitness.h"
 #include "group/replicaplanner.h"
 #include "groupcodec.h"
-#include "heldmaps.h"
 #include "http/timer.h"
+#include "mapassembler.h"
 #include "mapcodec.h"
-#include "mapcourier.h"
+#include "mapencoder.h"
 #include "observe/metrics.h"
 
 #include <deque>
@@ -30,20 +30,20 @@
 {
 
 /**
- * The coordinator's side of one term: links to all agents of the group, demand, and changes of the map.
+ * Coordinates a group during one term: keeps links to all agents, collects demand and switches maps.
  *
- * Owned by the agent that holds the term; destroyed when it loses it. On its loop's thread.
+ * Owned by the agent that holds the term and destroyed when the term ends. Must be called on the thread of the event loop.
  */
 class Coordinator
 {
 public:
-    /** Who coordinated before, if it is known. */
+    /** The previous coordinator, if known. */
     struct Predecessor {
-        std::uint64_t term = 0; ///< 0: not known.
+        std::uint64_t term = 0; ///< 0: unknown.
         std::uint32_t rank = 0;
     };
 
-    /** What one coordinator begins with. */
+    /** Term of one coordinator. */
     struct Term {
         std::string group;
         std::uint64_t number = 0;
@@ -51,8 +51,8 @@
     };
 
     struct Callbacks {
-        std::function<void(const RankOrder &)> orderOwn{}; ///< For the engine beside this agent.
-        std::function<void()> overtaken{}; ///< A higher term was heard of; may destroy this behind the callback.
+        std::function<void(const RankOrder &)> sendToOwnEngine{}; ///< Sends an order to the engine of this agent.
+        std::function<void()> onSuperseded{}; ///< Called when an agent reports a higher term. The coordinator may be destroyed after the callback returns.
     };
 
     Coordinator(event_base *loop,
@@ -65,7 +65,7 @@
     Coordinator(const Coordinator &) = delete;
     Coordinator &operator=(const Coordinator &) = delete;
 
-    void takeReport(const wire::RankReport &report);
+    void handleReport(const wire::RankReport &report);
     void setOwnRank(std::uint32_t rank)
     {
         ownRank_ = rank;
@@ -77,43 +77,43 @@
         std::unique_ptr<wire::LinkDialer> link;
         std::optional<std::uint32_t> rank;
         std::string engineAddress;
-        std::unique_ptr<EnginePort> engine; ///< Spoken to only while the agent is silent.
-        bool isEngineAsked = false; ///< An answer of the engine is awaited.
+        std::unique_ptr<EnginePort> engine; ///< Direct access; created on first use.
+        bool isEngineQueryPending = false; ///< A direct query to the engine is in progress.
         BootTime dialledAt;
-        std::uint64_t knownMap = 0; ///< Version of the map in use, if its agent says that it was told that one.
+        std::uint64_t knownMap = 0; ///< Version of the map in use, if the agent reports that it has that map.
     };
 
     /** An order that carries a map. */
     struct BulkOrder {
-        std::string member; ///< Its id.
+        std::string member; ///< Id of the member.
         RankOrder order;
     };
 
     void refreshMembers();
-    void takeMembers(const std::vector<MemberAddress> &members);
+    void updateMembers(const std::vector<MemberAddress> &members);
     void dialMember(const MemberAddress &member);
-    void takeMemberReport(const std::string &id, const wire::RankReport &report);
-    void tick();
-    void askSilent(BootTime now);
-    bool isUnheard(const Member &member, BootTime now) const;
-    void askEngine(const std::string &id, BootTime now);
-    void takeEngineState(const std::string &id, const RankState &state, BootTime askedAt);
-    void askHeld(const std::string &id, std::uint32_t rank);
-    bool isInSwitch() const;
-    void takeDemand(const wire::RankReport &report);
-    void plan();
-    void sendFollow();
-    void send(const AddressedOrder &addressed);
-    void queueBulk(const std::string &member, const RankOrder &order);
+    void handleMemberReport(const std::string &id, const wire::RankReport &report);
+    void update();
+    void queryUnresponsiveEngines(BootTime now);
+    bool isAgentUnresponsive(const Member &member, BootTime now) const;
+    void queryEngineState(const std::string &id, BootTime now);
+    void handleEngineState(const std::string &id, const RankState &state, BootTime queriedAt);
+    void queryHeldExperts(const std::string &id, std::uint32_t rank);
+    bool isSwitchInProgress() const;
+    void addDemand(const wire::RankReport &report);
+    void planSwitch();
+    void sendHeartbeats();
+    void dispatchOrder(const AddressedOrder &addressed);
+    void enqueueBulk(const std::string &member, const RankOrder &order);
     void sendBulk(BootTime now);
-    void sendFromAfar(std::uint32_t rank, const RankOrder &order);
-    void sendByDeputy(std::uint32_t deputy, const RankOrder &order);
+    void sendToEngine(std::uint32_t rank, const RankOrder &order);
+    void sendThroughPeer(std::uint32_t peerRank, const RankOrder &order);
     void sendThroughAgent(std::uint32_t rank, const RankOrder &order);
     EnginePort &engineOf(Member &member);
-    wire::RankCommand commandFor(const RankOrder &order) const;
-    void vouchForPredecessor(BootTime now);
-    const std::optional<RankExperts> &currentMap();
-    void noteMap();
+    wire::RankCommand makeCommand(const RankOrder &order) const;
+    void applyPredecessorProof(BootTime now);
+    const std::optional<ExpertMap> &currentMap();
+    void refreshMap();
     std::vector<double> rankPaces() const;
 
     event_base *loop_;
@@ -125,31 +125,31 @@
     GroupStore &store_;
     Callbacks callbacks_;
     MapSwitch switch_;
-    RankReach reach_;
-    RankWitness witness_;
-    BootTime begunAt_; ///< When this term began.
-    std::string ownEngine_; ///< Address of the engine beside this agent, once the list of members has told it.
+    DirectAccessPolicy accessPolicy_;
+    ArmedStateProver prover_;
+    BootTime startedAt_; ///< Start of this term.
+    std::string ownEngine_; ///< Address of the engine of this agent; empty until the member list has been read.
     ChangePolicy policy_;
     ReplicaPlanner planner_;
-    MapCourier courier_;
+    MapEncoder mapEncoder_;
     BulkPacer pacer_;
-    std::deque<BulkOrder> bulk_; ///< Waits for the pacer.
+    std::deque<BulkOrder> bulkQueue_; ///< Orders waiting for the pacer.
     std::optional<std::uint32_t> ownRank_;
-    std::map<std::string, Member> members_; ///< By the id of their engine's run.
-    std::set<std::string> strangers_; ///< Ids of engines of other groups.
-    HeldMaps held_;
-    std::optional<std::uint64_t> heldEpoch_; ///< Of held_ and reach_; nothing before the first report.
-    std::optional<RankExperts> currentMap_; ///< Joined from held_.
-    bool isOvertaken_ = false;
+    std::map<std::string, Member> members_; ///< By the id of the engine's run.
+    std::set<std::string> otherGroupMembers_; ///< Ids of members that belong to other groups.
+    MapAssembler assembler_;
+    std::optional<std::uint64_t> epoch_; ///< Epoch of assembler_, accessPolicy_ and prover_; empty before the first report.
+    std::optional<ExpertMap> currentMap_; ///< Assembled by assembler_.
+    bool isSuperseded_ = false;
     ExpertDemand demand_;
     BootTime plannedAt_;
-    BootTime followedAt_;
+    BootTime heartbeatAt_;
     BootTime refreshedAt_;
     MapSwitch::Phase loggedPhase_ = MapSwitch::Phase::Unknown;
     observe::Counter &switches_;
     observe::Counter &copies_;
     http::Timer timer_;
-    http::Timer dropTimer_; ///< Drops links to agents of other groups, not under their own calls.
+    http::Timer dropTimer_; ///< Closes links to agents of other groups outside of their own callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
