--- a/libs/ctl/src/deploymentreport.cpp
+++ b/libs/ctl/src/deploymentreport.cpp
@@ -54,7 +54,7 @@
     return {{"max_connections", service.maxConnections},
             {"expert_sets", service.experts.sets},
             {"experts", service.experts.experts},
-            {"expert_places", service.experts.placesPerRank}};
+            {"expert_places", service.experts.expertSlotsPerRank}};
 }
 
 /** Tells two keys apart without showing either. */
--- a/libs/routing/include/routing/quarantine.h
+++ b/libs/routing/include/routing/quarantine.h
@@ -43,10 +43,10 @@
 {
 public:
     struct Options {
-        std::size_t limit = 2; ///< Number of reports at which a request is quarantined.
-        Duration time{600000}; ///< Duration of the first quarantine; reports of requests below the limit expire after it.
-        Duration maxTime{86400000};
-        Duration answerTime{60000}; ///< A request that was answered within this time is not reported.
+        std::size_t reportThreshold = 2; ///< Number of reports at which a request is quarantined.
+        Duration initialQuarantineTime{600000}; ///< Duration of the first quarantine; reports of requests below the limit expire after it.
+        Duration maxQuarantineTime{86400000};
+        Duration answerRetention{60000}; ///< A request that was answered within this time is not reported.
         std::size_t maxAnswered = 20000; ///< Requests remembered as answered, in each of two generations.
         std::size_t maxReported = 4000; ///< Requests with reports; the one with the oldest last crash is evicted.
     };
--- a/libs/routing/include/routing/routingconfig.h
+++ b/libs/routing/include/routing/routingconfig.h
@@ -63,8 +63,8 @@
     Duration pauseObjective{0}; ///< Shortest objective of the routes to the service; 0: none.
     std::uint32_t sets = 0; ///< Number of expert sets; 0: the model has no experts.
     std::uint32_t experts = 0; ///< Experts per set.
-    std::uint32_t placesPerRank = 0; ///< Expert slots of a rank per set.
-    std::uint32_t sparePlaces = 0; ///< Maximum number of experts per set that a rank can add in one map switch.
+    std::uint32_t expertSlotsPerRank = 0; ///< Expert slots of a rank per set.
+    std::uint32_t spareExpertSlots = 0; ///< Maximum number of experts per set that a rank can add in one map switch.
     double expertMegabytes = 0;
     double linkMegabitsPerSecond = 0;
     double workShare = 0; ///< Fraction of the work per token that experts do, 0 to 1.
--- a/libs/routing/src/quarantine.cpp
+++ b/libs/routing/src/quarantine.cpp
@@ -55,7 +55,7 @@
 
 std::vector<std::uint32_t> Quarantine::onAnswered(std::string_view fingerprint, BootTime now)
 {
-    if (now - generationStart_ >= options_.answerTime || answered_.size() >= options_.maxAnswered) {
+    if (now - generationStart_ >= options_.answerRetention || answered_.size() >= options_.maxAnswered) {
         previousAnswered_ = std::exchange(answered_, {});
         generationStart_ = now;
     }
@@ -77,7 +77,7 @@
 std::optional<Duration> Quarantine::timeLeft(std::string_view fingerprint, BootTime now) const
 {
     const auto found = reported_.find(fingerprint);
-    if (found == reported_.end() || found->second.ordinals.size() < options_.limit) {
+    if (found == reported_.end() || found->second.ordinals.size() < options_.reportThreshold) {
         return std::nullopt;
     }
     const BootClock::duration left = found->second.lastEnd + quarantineTime(found->second) - now;
@@ -87,15 +87,15 @@
 /** @return the duration of the quarantine; for fewer reports than the limit, the duration of the first one. */
 BootClock::duration Quarantine::quarantineTime(const Reports &reports) const
 {
-    const std::size_t further = reports.ordinals.size() - std::min(reports.ordinals.size(), options_.limit);
-    const Duration doubled = options_.time * (1LL << std::min(further, MaxDoublings));
-    return std::min(doubled, options_.maxTime);
+    const std::size_t further = reports.ordinals.size() - std::min(reports.ordinals.size(), options_.reportThreshold);
+    const Duration doubled = options_.initialQuarantineTime * (1LL << std::min(further, MaxDoublings));
+    return std::min(doubled, options_.maxQuarantineTime);
 }
 
 /** @return when the reports expire. After a quarantine they are retained for the same time again, so that a further crash leads to a longer one. */
 BootTime Quarantine::retainedUntil(const Reports &reports) const
 {
-    const bool wasQuarantined = reports.ordinals.size() >= options_.limit;
+    const bool wasQuarantined = reports.ordinals.size() >= options_.reportThreshold;
     return reports.lastEnd + quarantineTime(reports) * (wasQuarantined ? 2 : 1);
 }
 
--- a/libs/routing/tests/quarantinetest.cpp
+++ b/libs/routing/tests/quarantinetest.cpp
@@ -25,7 +25,7 @@
     }
 
     BootTime now{1h};
-    Quarantine quarantine{{.limit = 3, .time = 10min, .answerTime = 1min, .maxAnswered = 10, .maxReported = 5}};
+    Quarantine quarantine{{.reportThreshold = 3, .initialQuarantineTime = 10min, .answerRetention = 1min, .maxAnswered = 10, .maxReported = 5}};
 };
 
 } // namespace
