--- a/libs/forward/src/admission.cpp
+++ b/libs/forward/src/admission.cpp
@@ -67,10 +67,10 @@
     return AdmittedRequest{.route = route, .organisation = organisation, .fingerprint = fingerprintOf(*input.request, organisation)};
 }
 
-routing::CallerDeadlines callerBoundsOf(const CallerRequest &request, const Protocol &protocol)
+routing::CallerDeadlines callerDeadlinesOf(const CallerRequest &request, const Protocol &protocol)
 {
     routing::CallerDeadlines::Options options{.receivedAt = request.receivedAt};
-    if (const auto stated = numberOf<std::uint64_t>(request.head.headers.value(protocol.deadline))) {
+    if (const auto stated = parseNumber<std::uint64_t>(request.head.headers.value(protocol.deadline))) {
         options.callerTimeout = Duration(std::min<std::uint64_t>(*stated, MaxStatedTimeout.count()));
     }
     return routing::CallerDeadlines(options);
--- a/libs/forward/src/admission.h
+++ b/libs/forward/src/admission.h
@@ -47,7 +47,7 @@
 tl::expected<AdmittedRequest, Rejection> admitRequest(const AdmissionInput &input);
 
 /** @return how long the caller waits for an answer, as stated by the request itself. */
-routing::CallerDeadlines callerBoundsOf(const CallerRequest &request, const Protocol &protocol);
+routing::CallerDeadlines callerDeadlinesOf(const CallerRequest &request, const Protocol &protocol);
 
 } // namespace magnolia::forward
 
--- a/libs/forward/src/crashtracker.h
+++ b/libs/forward/src/crashtracker.h
@@ -33,7 +33,7 @@
         std::uint32_t ordinal = 1; ///< nextOrdinal() when the attempt was dispatched.
     };
 
-    /** @param quarantined called when a request was quarantined. */
+    /** @param onQuarantined called when a request was quarantined. */
     CrashTracker(event_base *loop,
                  EndpointConnectionPool &connections,
                  const routing::Quarantine::Options &options,
--- a/libs/forward/src/forwardedrequest.cpp
+++ b/libs/forward/src/forwardedrequest.cpp
@@ -70,8 +70,8 @@
     , writer_(&writer)
     , request_(std::move(request))
     , requestId_(request_.head.headers.value(context.options.protocol.requestId))
-    , bounds_(callerBoundsOf(request_, context.options.protocol))
-    , updateWaitEnds_(request_.receivedAt + std::min(MaxUpdateWait, bounds_.timeLimit() / UpdateWaitShare))
+    , callerDeadlines_(callerDeadlinesOf(request_, context.options.protocol))
+    , updateWaitEnds_(request_.receivedAt + std::min(MaxUpdateWait, callerDeadlines_.timeLimit() / UpdateWaitShare))
     , timer_(context.loop, [this] { onTimer(); })
     , spans_(context.options.tracer)
 {
@@ -109,14 +109,14 @@
     if (endIfQuarantined()) {
         return;
     }
-    bounds_.applyRoute(*route_);
-    if (!context_.acceptsRequest(BootClock::now(), bounds_.deadline())) {
+    callerDeadlines_.applyRoute(*route_);
+    if (!context_.acceptsRequest(BootClock::now(), callerDeadlines_.deadline())) {
         reject(StatusUnavailable, RetryAfterStopping, "this entry is stopping");
         return;
     }
     pickService();
     context_.retryAllowanceOf(service_).onRequest(BootClock::now());
-    if (const auto resumed = numberOf<std::uint64_t>(request_.head.headers.value(context_.options.protocol.lastEventId))) {
+    if (const auto resumed = parseNumber<std::uint64_t>(request_.head.headers.value(context_.options.protocol.lastEventId))) {
         splitter_.startAfter(*resumed);
     }
     acquireSlot();
@@ -233,7 +233,7 @@
 
 BootClock::duration ForwardedRequest::timeLeft() const
 {
-    return bounds_.deadline() - BootClock::now();
+    return callerDeadlines_.deadline() - BootClock::now();
 }
 
 void ForwardedRequest::dispatchNext()
@@ -290,8 +290,8 @@
     endpoint_ = endpoint;
     spans_.beginAttempt(endpoint->record.id);
     sentAt_ = BootClock::now();
-    heardAt_ = sentAt_;
-    unbegunWhenSent_ = endpoint->unstartedStreams;
+    lastReceivedAt_ = sentAt_;
+    unstartedWhenSent_ = endpoint->unstartedStreams;
     silenceWhenSent_ = endpoint->inFlight == 0 ? BootClock::duration(0) : sentAt_ - endpoint->silentSince();
     incoming_ = {};
     isStreamAnswer_ = false;
@@ -311,7 +311,7 @@
     endpoint->suspectRequests += hasCrashReports() ? 1 : 0;
     slots_->reserve();
     if (route_->kind == RouteKind::Stream) {
-        isCountedUnbegun_ = true;
+        isCountedUnstarted_ = true;
         ++endpoint->unstartedStreams;
         context_.livenessMonitor.addRequest(endpoint, this, [moving = weak_from_this()] {
             const auto self = moving.lock();
@@ -395,10 +395,10 @@
                                       .isConnected = attempt_->isConnected(),
                                       .isAnswering = attempt_->hasAnswer(),
                                       .took = now - sentAt_,
-                                      .callerStays = bounds_.nextEventDeadline() - now,
-                                      .unbegunAhead = unbegunWhenSent_,
+                                      .callerStays = callerDeadlines_.nextEventDeadline() - now,
+                                      .unstartedAhead = unstartedWhenSent_,
                                       .silenceWhenSent = silenceWhenSent_,
-                                      .silence = now - heardAt_,
+                                      .silence = now - lastReceivedAt_,
                                       .endpointSilence = now - endpoint_->silentSince(),
                                       .serviceSilence = now - context_.endpoints.serviceLastReceivedAt(service_),
                                       .concurrentRequests = endpoint_->inFlight});
@@ -461,18 +461,18 @@
 void ForwardedRequest::onAnswerHead(http::MessageHead &head)
 {
     const auto self = shared_from_this();
-    heardAt_ = BootClock::now();
-    context_.endpoints.onDataReceived(*endpoint_, heardAt_);
+    lastReceivedAt_ = BootClock::now();
+    context_.endpoints.onDataReceived(*endpoint_, lastReceivedAt_);
     const Protocol &protocol = context_.options.protocol;
     if (protocol.parseLoad != nullptr) {
         if (const auto load = protocol.parseLoad(head.headers.value(protocol.load))) {
-            routing::EndpointTable::onLoadReport(*endpoint_, *load, heardAt_);
-            slots_->limit().onLoadReport(*load, heardAt_);
+            routing::EndpointTable::onLoadReport(*endpoint_, *load, lastReceivedAt_);
+            slots_->limit().onLoadReport(*load, lastReceivedAt_);
         }
     }
     updateRateLimit(head);
     incoming_.head = head;
-    releaseUnbegun();
+    releaseUnstarted();
     context_.endpoints.onAnswerStarted(*endpoint_, sentAt_);
     if (isSuccess(head.status)) {
         context_.endpoints.onGroupAnswer(*endpoint_);
@@ -481,8 +481,8 @@
     const bool isEvents = head.headers.value("content-type").starts_with(EventStream);
     isStreamAnswer_ = route_->kind == RouteKind::Stream && isSuccess(head.status) && isEvents;
     if (isStreamAnswer_) {
-        if (heardAt_ < answerDue()) { // Otherwise this process was late, not the service.
-            context_.endpoints.onStreamStarted(service_, heardAt_ - sentAt_, heardAt_);
+        if (lastReceivedAt_ < answerDue()) { // Otherwise this process was late, not the service.
+            context_.endpoints.onStreamStarted(service_, lastReceivedAt_ - sentAt_, lastReceivedAt_);
         }
         splitter_.resume();
     }
@@ -494,12 +494,12 @@
         return; // The answer may come from another endpoint that now has this address.
     }
     const std::string *stated = head.headers.find(context_.options.protocol.rateLimit);
-    const auto perSecond = stated != nullptr ? rateOf(*stated) : std::nullopt;
+    const auto perSecond = stated != nullptr ? parseRate(*stated) : std::nullopt;
     if (stated != nullptr && !perSecond) {
         context_.log.logInvalidRateLimit(endpoint_->record.id, *stated);
         return;
     }
-    if (context_.endpoints.updateRateLimit(*endpoint_, perSecond, heardAt_, context_.random)) {
+    if (context_.endpoints.updateRateLimit(*endpoint_, perSecond, lastReceivedAt_, context_.random)) {
         context_.log.logRateLimit(endpoint_->record.id, perSecond);
     }
 }
@@ -507,8 +507,8 @@
 void ForwardedRequest::onAnswerBody(std::string_view piece)
 {
     const auto self = shared_from_this();
-    heardAt_ = BootClock::now();
-    context_.endpoints.onDataReceived(*endpoint_, heardAt_);
+    lastReceivedAt_ = BootClock::now();
+    context_.endpoints.onDataReceived(*endpoint_, lastReceivedAt_);
     if (isStreamAnswer_) {
         relayEvents(piece);
         return;
@@ -533,8 +533,8 @@
     }
     if (!isStreaming_) {
         isStreaming_ = true;
-        firstByteAt_ = heardAt_;
-        context_.metrics.firstByte.record(heardAt_ - request_.receivedAt);
+        firstByteAt_ = lastReceivedAt_;
+        context_.metrics.firstByte.record(lastReceivedAt_ - request_.receivedAt);
         http::HeaderList headers = incoming_.head.headers;
         headers.removeHopByHop();
         writer_->beginStream(incoming_.head.status, headers);
@@ -544,7 +544,7 @@
     }
     recordPause();
     ++eventCount_;
-    bounds_.onEventSent(heardAt_);
+    callerDeadlines_.onEventSent(lastReceivedAt_);
     writer_->sendPiece(events);
     if (writer_ != nullptr && attempt_ != nullptr && writer_->pendingBytes() > MaxPendingBytes) {
         isReadingPaused_ = true;
@@ -555,17 +555,17 @@
 /** Reports the time between two events to the concurrency limit of the service. */
 void ForwardedRequest::recordPause()
 {
-    const BootTime before = std::exchange(lastEventAt_, heardAt_);
+    const BootTime before = std::exchange(lastEventAt_, lastReceivedAt_);
     if (eventCount_ == 0) {
         return;
     }
-    longestPause_ = std::max(longestPause_, heardAt_ - before);
+    longestPause_ = std::max(longestPause_, lastReceivedAt_ - before);
     if (stepModel_ == nullptr) {
         return;
     }
-    const routing::ConcurrencyLimit::Pause pause{.pause = heardAt_ - before, .objective = route_->pauseObjective, .inProgress = slots_->inProgress()};
-    if (slots_->limit().onPause(pause, *stepModel_, heardAt_)) {
-        context_.log.logStreamLimit(service_, pause.pause, pause.inProgress, slots_->limit().limit(heardAt_).value_or(0));
+    const routing::ConcurrencyLimit::Pause pause{.pause = lastReceivedAt_ - before, .objective = route_->pauseObjective, .inProgress = slots_->inProgress()};
+    if (slots_->limit().onPause(pause, *stepModel_, lastReceivedAt_)) {
+        context_.log.logStreamLimit(service_, pause.pause, pause.inProgress, slots_->limit().limit(lastReceivedAt_).value_or(0));
     }
 }
 
@@ -574,8 +574,8 @@
     if (!std::exchange(isReadingPaused_, false)) {
         return;
     }
-    heardAt_ = BootClock::now(); // Reading was paused for the caller, so the endpoint is not to blame for the time without data.
-    bounds_.onEventSent(heardAt_);
+    lastReceivedAt_ = BootClock::now(); // Reading was paused for the caller, so the endpoint is not to blame for the time without data.
+    callerDeadlines_.onEventSent(lastReceivedAt_);
     if (attempt_ != nullptr) {
         attempt_->setReading(true);
         startTimer();
@@ -630,7 +630,7 @@
         const std::string atFault(incoming_.head.headers.value(protocol.endpointAtFault));
         const bool isNamedPeer = !atFault.empty() && atFault != endpoint_->record.address;
         // An endpoint that refuses with free capacity can't run anything at the moment, e.g. because its group is forming.
-        const bool hasRoom = endpoint_->load.running + endpoint_->load.waiting < endpoint_->record.slots && endpoint_->reportedAt == heardAt_;
+        const bool hasRoom = endpoint_->load.running + endpoint_->load.waiting < endpoint_->record.slots && endpoint_->reportedAt == lastReceivedAt_;
         const bool isForPeer = status == StatusUnavailable && (isNamedPeer || hasRoom);
         endAttempt(status == StatusMisdirected ? AttemptOutcome::Unreachable : AttemptOutcome::Refused);
         if (isForPeer) {
@@ -731,7 +731,7 @@
 
 routing::AttemptPolicy ForwardedRequest::timingPolicy() const
 {
-    return routing::AttemptPolicy({.deadlines = bounds_,
+    return routing::AttemptPolicy({.deadlines = callerDeadlines_,
                                    .route = *route_,
                                    .endpoints = context_.endpoints,
                                    .service = service_,
@@ -740,14 +740,17 @@
 
 routing::AttemptState ForwardedRequest::attemptState() const
 {
-    return {
-        .endpoint = endpoint_.get(), .sentAt = sentAt_, .lastReceivedAt = heardAt_, .isConnected = attempt_->isConnected(), .hasAnswer = attempt_->hasAnswer()};
+    return {.endpoint = endpoint_.get(),
+            .sentAt = sentAt_,
+            .lastReceivedAt = lastReceivedAt_,
+            .isConnected = attempt_->isConnected(),
+            .hasAnswer = attempt_->hasAnswer()};
 }
 
 /** @return when the attempt in progress is reviewed for a move to another endpoint. */
 BootTime ForwardedRequest::attemptDeadline() const
 {
-    return isReadingPaused_ ? bounds_.deadline() : timingPolicy().attemptExpiresAt(attemptState(), BootClock::now());
+    return isReadingPaused_ ? callerDeadlines_.deadline() : timingPolicy().attemptExpiresAt(attemptState(), BootClock::now());
 }
 
 void ForwardedRequest::onTimer()
@@ -791,17 +794,17 @@
 {
     // A running stream may continue past that time if it can be cancelled at every endpoint that may be running it.
     const bool mayGoOn = isStreaming_ && attempt_ != nullptr && !endpoint_->isUnresponsive && !hasUncancellableAttempt_;
-    return isReadingPaused_ || mayGoOn ? bounds_.deadline() : bounds_.nextEventDeadline();
+    return isReadingPaused_ || mayGoOn ? callerDeadlines_.deadline() : callerDeadlines_.nextEventDeadline();
 }
 
 BootTime ForwardedRequest::latestDispatch() const
 {
-    return isReadingPaused_ ? bounds_.deadline() : timingPolicy().latestUsefulDispatch(BootClock::now());
+    return isReadingPaused_ ? callerDeadlines_.deadline() : timingPolicy().latestUsefulDispatch(BootClock::now());
 }
 
 std::string_view ForwardedRequest::overdueCause() const
 {
-    const bool isDeadline = bounds_.nextEventDeadline() == bounds_.deadline();
+    const bool isDeadline = callerDeadlines_.nextEventDeadline() == callerDeadlines_.deadline();
     return isDeadline ? "time is up" : "nothing can come before its caller leaves";
 }
 
@@ -855,14 +858,14 @@
 {
     if (attempt_ != nullptr) {
         // An endpoint that sends data for other requests is only slow or at capacity.
-        const bool isHeard = route_->kind == RouteKind::Stream && endpoint_->lastReceivedAt > sentAt_;
-        const bool isUnheard = !attempt_->hasAnswer() && !isHeard;
-        if (isUnheard) {
+        const bool hasEndpointSent = route_->kind == RouteKind::Stream && endpoint_->lastReceivedAt > sentAt_;
+        const bool hasReceivedNothing = !attempt_->hasAnswer() && !hasEndpointSent;
+        if (hasReceivedNothing) {
             context_.connections.closeAll(endpoint_->record.id); // The connection may be dead, and the idle ones to this endpoint too.
         }
         mayHaveRun_ = mayHaveRun_ || attempt_->hasSent();
         logCancelledAttempt(cause);
-        endAttempt(isUnheard || attempt_->hasAnswer() ? AttemptOutcome::Failed : AttemptOutcome::Refused);
+        endAttempt(hasReceivedNothing || attempt_->hasAnswer() ? AttemptOutcome::Failed : AttemptOutcome::Refused);
     }
     endUnsuccessfully(cause, StatusTimeout);
 }
@@ -886,15 +889,15 @@
     }
 }
 
-void ForwardedRequest::releaseUnbegun()
+void ForwardedRequest::releaseUnstarted()
 {
-    if (std::exchange(isCountedUnbegun_, false)) {
+    if (std::exchange(isCountedUnstarted_, false)) {
         --endpoint_->unstartedStreams;
         slots_->scheduleAdmission();
     }
 }
 
-void ForwardedRequest::endAttempt(routing::AttemptOutcome sign)
+void ForwardedRequest::endAttempt(routing::AttemptOutcome outcome)
 {
     const auto attempt = std::exchange(attempt_, nullptr);
     if (attempt == nullptr) {
@@ -902,13 +905,13 @@
     }
     attempt->cancel();
     context_.livenessMonitor.removeRequest(endpoint_->record.id, this);
-    releaseUnbegun();
+    releaseUnstarted();
     timer_.stop();
     --endpoint_->inFlight;
     endpoint_->suspectRequests -= hasCrashReports() ? 1 : 0;
     slots_->release();
-    spans_.endAttempt(incoming_.head.status, sign);
-    routing::EndpointTable::onAttemptEnded(*endpoint_, sign, BootClock::now());
+    spans_.endAttempt(incoming_.head.status, outcome);
+    routing::EndpointTable::onAttemptEnded(*endpoint_, outcome, BootClock::now());
 }
 
 void ForwardedRequest::reject(int status, Duration retryAfter, std::string_view cause)
--- a/libs/forward/src/forwardedrequest.h
+++ b/libs/forward/src/forwardedrequest.h
@@ -103,7 +103,7 @@
 
     // Timeouts and the end of the request.
     void onTimer();
-    void releaseUnbegun();
+    void releaseUnstarted();
     bool leaveUnresponsive(std::string_view cause);
     bool moveToOtherEndpoint(std::string_view cause);
     void startTimer();
@@ -115,7 +115,7 @@
     std::string_view overdueCause() const;
     void endOverdue(std::string_view cause);
     void endUnsuccessfully(std::string_view cause, int failedStatus);
-    void endAttempt(routing::AttemptOutcome sign);
+    void endAttempt(routing::AttemptOutcome outcome);
     void reject(int status, Duration retryAfter, std::string_view cause);
     void fail(int status, std::string_view cause);
     void sendLocalAnswer(int status, std::optional<Duration> retryAfter, std::string_view cause);
@@ -136,7 +136,7 @@
     std::string service_;
     SlotQueue *slots_ = nullptr; ///< The slot queue of service_; null until the service is chosen.
     const routing::StepModel *stepModel_ = nullptr; ///< Step model of the service's engines, owned by routes_; null if the service has none.
-    routing::CallerDeadlines bounds_;
+    routing::CallerDeadlines callerDeadlines_;
     BootTime updateWaitEnds_; ///< Latest time to wait for a change of the routes or endpoints.
     Waiting waitingFor_ = Waiting::ForNothing;
     BootTime waitingSince_; ///< When the wait for a slot began.
@@ -146,7 +146,7 @@
 
     AttemptHistory attempts_;
     RequestSpans spans_;
-    bool isCountedUnbegun_ = false; ///< The current attempt is counted in Endpoint::unbegun: a stream without an answer head yet.
+    bool isCountedUnstarted_ = false; ///< The current attempt is counted in Endpoint::unstartedStreams: a stream without an answer head yet.
     bool mayHaveRun_ = false;
     bool hasRetried_ = false;
     bool needsRetryBudget_ = false; ///< The next attempt is a retry and must be granted by the retry budget.
@@ -154,8 +154,8 @@
     std::shared_ptr<EndpointAttempt> attempt_;
     routing::EndpointPointer endpoint_; ///< Endpoint of the latest attempt.
     BootTime sentAt_;
-    BootTime heardAt_; ///< When the endpoint last sent data for this request.
-    std::uint32_t unbegunWhenSent_ = 0; ///< Streams of this instance at the endpoint without an answer head when this one was sent.
+    BootTime lastReceivedAt_; ///< When the endpoint last sent data for this request.
+    std::uint32_t unstartedWhenSent_ = 0; ///< Streams of this instance at the endpoint without an answer head when this one was sent.
     BootClock::duration silenceWhenSent_{0}; ///< How long the endpoint had sent nothing, with requests in progress, when this one was sent.
     BufferedAnswer incoming_;
     std::optional<BufferedAnswer> fallback_; ///< An endpoint's error answer, relayed if no later attempt succeeds.
--- a/libs/forward/src/headervalues.h
+++ b/libs/forward/src/headervalues.h
@@ -12,7 +12,7 @@
 
 /** @return nothing unless the whole text is one number. */
 template<typename Number>
-std::optional<Number> numberOf(std::string_view text)
+std::optional<Number> parseNumber(std::string_view text)
 {
     Number number = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -21,9 +21,9 @@
 }
 
 /** @return requests per second; nothing if the text is not a finite number of at least 0. */
-inline std::optional<double> rateOf(std::string_view text)
+inline std::optional<double> parseRate(std::string_view text)
 {
-    const auto rate = numberOf<double>(text);
+    const auto rate = parseNumber<double>(text);
     return rate && std::isfinite(*rate) && *rate >= 0 ? rate : std::nullopt;
 }
 
--- a/libs/forward/src/livenessmonitor.cpp
+++ b/libs/forward/src/livenessmonitor.cpp
@@ -105,11 +105,11 @@
         return false;
     }
     monitored.endpoint->isSuspected = false;
-    const bool wasSilent = std::exchange(monitored.endpoint->isUnresponsive, false);
-    if (wasSilent) {
+    const bool wasUnresponsive = std::exchange(monitored.endpoint->isUnresponsive, false);
+    if (wasUnresponsive) {
         metrics_.silentEndpoints.add(-1);
     }
-    return wasSilent;
+    return wasUnresponsive;
 }
 
 bool LivenessMonitor::isIdle(const MonitoredEndpoint &monitored) const
--- a/libs/forward/src/livenessmonitor.h
+++ b/libs/forward/src/livenessmonitor.h
@@ -23,7 +23,7 @@
  * new requests, and is checked again until it answers. Owned by the task, used on its loop.
  *
  * @code
- * monitor.addRequest(endpoint, this, [this] { moveElsewhere(); });
+ * monitor.addRequest(endpoint, this, [this] { moveToOtherEndpoint(); });
  * monitor.removeRequest(endpoint->record.id, this);
  * @endcode
  */
--- a/libs/forward/src/requestlog.cpp
+++ b/libs/forward/src/requestlog.cpp
@@ -84,7 +84,7 @@
                 record.isAnswering,
                 milliseconds(record.took),
                 milliseconds(record.callerStays),
-                record.unbegunAhead,
+                record.unstartedAhead,
                 milliseconds(record.silenceWhenSent),
                 milliseconds(record.silence),
                 milliseconds(record.endpointSilence),
--- a/libs/forward/src/requestlog.h
+++ b/libs/forward/src/requestlog.h
@@ -57,7 +57,7 @@
     bool isAnswering = false; ///< The head of the answer was received.
     BootClock::duration took{}; ///< Time since dispatch.
     BootClock::duration callerStays{}; ///< How long the caller was expected to stay; negative if it should have left already.
-    std::uint32_t unbegunAhead = 0; ///< Streams of this instance at the endpoint without an answer head at dispatch.
+    std::uint32_t unstartedAhead = 0; ///< Streams of this instance at the endpoint without an answer head at dispatch.
     BootClock::duration silenceWhenSent{}; ///< Time since the endpoint last sent anything, at dispatch.
     BootClock::duration silence{}; ///< Time since the endpoint last sent data for this request.
     BootClock::duration endpointSilence{}; ///< Time since the endpoint last sent data for any request of this instance.
--- a/libs/forward/src/requestspans.h
+++ b/libs/forward/src/requestspans.h
@@ -50,9 +50,9 @@
         return attemptSpan_.traceparent();
     }
 
-    void endAttempt(int status, routing::AttemptOutcome sign)
+    void endAttempt(int status, routing::AttemptOutcome outcome)
     {
-        finish(attemptSpan_, status, failureOf(sign));
+        finish(attemptSpan_, status, failureOf(outcome));
     }
 
     /** @param isFailed the caller got no complete answer, and the request may have run. */
@@ -67,13 +67,13 @@
     }
 
 private:
-    /** @return the failure to record in the span; empty if the sign is no failure of the endpoint. */
-    static std::string_view failureOf(routing::AttemptOutcome sign)
+    /** @return the failure to record in the span; empty if the outcome is not a failure of the endpoint. */
+    static std::string_view failureOf(routing::AttemptOutcome outcome)
     {
-        if (sign == routing::AttemptOutcome::Failed) {
+        if (outcome == routing::AttemptOutcome::Failed) {
             return "failed";
         }
-        return sign == routing::AttemptOutcome::Unreachable ? "unreachable" : "";
+        return outcome == routing::AttemptOutcome::Unreachable ? "unreachable" : "";
     }
 
     /** @param failure empty if the span did not fail. */
--- a/libs/forward/tests/statedlimittest.cpp
+++ b/libs/forward/tests/statedlimittest.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(StatedLimitTest, LimitFixture)
+BOOST_FIXTURE_TEST_SUITE(RateLimitTest, LimitFixture)
 
 // Guards against an overloaded endpoint being sent more requests, by all entries together, than the limit that it states.
 BOOST_AUTO_TEST_CASE(endpoint_statesALimit_allEntriesTogetherObserveIt)
--- a/libs/group/benchmarks/coordinatorcost.cpp
+++ b/libs/group/benchmarks/coordinatorcost.cpp
@@ -23,7 +23,7 @@
     std::size_t ranks = 0;
     std::size_t sets = 0;
     std::size_t experts = 96; ///< Number of experts in each set.
-    std::size_t places = 0; ///< Experts that a rank can hold in each set.
+    std::size_t expertSlots = 0; ///< Experts that a rank can hold in each set.
     std::size_t copiesPerRank = 1; ///< Copies in one map switch.
 };
 
@@ -76,7 +76,7 @@
     const std::string name = std::to_string(shape.ranks) + "_ranks_" + std::to_string(shape.sets) + "_sets_" + std::to_string(shape.experts) + "_experts";
     const ExpertMap map = firstMap(shape);
     const auto demand = demandOf(shape);
-    const ReplicaPlanner planner({.maxExpertsPerRank = shape.places, .maxCopiesPerSet = 2, .maxCopiesPerRank = shape.copiesPerRank, .minGain = 0.01});
+    const ReplicaPlanner planner({.maxExpertsPerRank = shape.expertSlots, .maxCopiesPerSet = 2, .maxCopiesPerRank = shape.copiesPerRank, .minGain = 0.01});
     const auto plan = planner.plan(map, demand);
     if (!plan) {
         std::abort();
@@ -97,10 +97,10 @@
 
 int main()
 {
-    measure({.ranks = 12, .sets = 3, .places = 11});
-    measure({.ranks = 24, .sets = 16, .places = 5});
-    measure({.ranks = 48, .sets = 32, .places = 4});
+    measure({.ranks = 12, .sets = 3, .expertSlots = 11});
+    measure({.ranks = 24, .sets = 16, .expertSlots = 5});
+    measure({.ranks = 48, .sets = 32, .expertSlots = 4});
     for (const std::size_t ranks : {24U, 64U, 128U}) {
-        measure({.ranks = ranks, .sets = 12, .experts = 256, .places = std::max<std::size_t>(5, 320 / ranks), .copiesPerRank = 2});
+        measure({.ranks = ranks, .sets = 12, .experts = 256, .expertSlots = std::max<std::size_t>(5, 320 / ranks), .copiesPerRank = 2});
     }
 }
--- a/libs/group/include/group/armedstateprover.h
+++ b/libs/group/include/group/armedstateprover.h
@@ -15,7 +15,7 @@
     std::uint64_t orderedVersion = 0; ///< Version that it was last ordered to prepare; 0: none.
     bool isFresh = false; ///< No rank was armed or held when that switch began.
     std::optional<PeerArm> peerArm{}; ///< The last order to arm that it sent to another rank's engine.
-    std::uint64_t map = 0; ///< Version in use on its own rank.
+    std::uint64_t mapVersion = 0; ///< Version of the map in use on its own rank.
 };
 
 /**
--- a/libs/group/include/group/mapswitch.h
+++ b/libs/group/include/group/mapswitch.h
@@ -47,7 +47,7 @@
  * @code
  * MapSwitch change({.term = term});
  * change.onRankReport(state, now);
- * if (change.isIdle()) { change.begin(map, now); }
+ * if (change.isIdle()) { change.begin(map, currentMap, now); }
  * for (const AddressedOrder &order : change.takeDueOrders(now)) { dispatchOrder(order); }
  * @endcode
  */
--- a/libs/group/src/armedstateprover.cpp
+++ b/libs/group/src/armedstateprover.cpp
@@ -13,7 +13,7 @@
     std::uint64_t mapInUse = 0;
     for (const auto &[rank, record] : records_) {
         latestVersion = std::max(latestVersion, record.orderedVersion);
-        mapInUse = std::max(mapInUse, record.map);
+        mapInUse = std::max(mapInUse, record.mapVersion);
     }
     if (MapSwitch::termOf(latestVersion) != query.term) {
         return std::nullopt;
--- a/libs/group/src/coordinator.cpp
+++ b/libs/group/src/coordinator.cpp
@@ -158,7 +158,7 @@
         return;
     }
     if (report.term < term_) {
-        return; // The agent does not follow this term yet and could still execute a rival's commands.
+        return; // The agent does not follow this term yet and could still execute the commands of another coordinator.
     }
     const BootTime now = BootClock::now();
     switch_.onRankReport(toRankState(report), now);
@@ -438,8 +438,8 @@
         return;
     }
     for (std::uint32_t rank = 0; rank < switch_.size(); ++rank) {
-        const bool isHeard = switch_.rank(rank) != nullptr;
-        if (isHeard == (rank == predecessor_.rank)) {
+        const bool hasReported = switch_.rank(rank) != nullptr;
+        if (hasReported == (rank == predecessor_.rank)) {
             return; // The predecessor's rank has reported, or another rank has not.
         }
     }
--- a/libs/group/src/groupcodec.cpp
+++ b/libs/group/src/groupcodec.cpp
@@ -86,7 +86,7 @@
 
 SwitchRecord toSwitchRecord(const wire::RankReport &report)
 {
-    SwitchRecord record{.orderedVersion = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .map = report.map};
+    SwitchRecord record{.orderedVersion = report.toldVersion, .isFresh = report.isToldFresh, .peerArm = {}, .mapVersion = report.map};
     if (report.peerArmVersion > 0) {
         record.peerArm = PeerArm{.rank = report.peerArmRank,
                                  .epoch = report.peerArmEpoch,
--- a/libs/group/src/grouptask.cpp
+++ b/libs/group/src/grouptask.cpp
@@ -75,7 +75,7 @@
         , pollTimer_(loop, [this] { poll(); })
         , resignTimer_(loop, [this] { coordinator_.reset(); })
         , prepareTimer_(loop, [this] { retryPrepare(); })
-        , coordinatorHeardAt_(BootClock::now())
+        , coordinatorLastReceivedAt_(BootClock::now())
         , claimJitter_(std::uniform_int_distribution<Duration::rep>(0, MaxClaimJitter.count())(random_))
     {
     }
@@ -100,7 +100,7 @@
     void forwardOrder(const RankOrder &order);
     void retryPrepare();
     void armPeer(const RankOrder &order, const std::string &address, std::uint32_t rank);
-    void claimTermIfSilent();
+    void claimTermIfCoordinatorUnresponsive();
     void handleRow(const CoordinatorRow &row);
     void becomeCoordinator(std::uint64_t term);
 
@@ -147,7 +147,7 @@
     bool areHeldExpertsKnown_ = false;
     ReportedExperts reportedExperts_; ///< Experts listed in the last report that contained them.
     std::uint64_t term_ = 0; ///< The highest known term.
-    BootTime coordinatorHeardAt_;
+    BootTime coordinatorLastReceivedAt_;
     BootTime orderedAt_; ///< When the last order was sent to the engine.
     BootTime countsReadAt_;
     BootTime countsSentAt_;
@@ -230,11 +230,11 @@
     if (state.isOpen && (!before || !before->isOpen)) {
         // All agents see the group open at the same time, most of them long after the last heartbeat. Limits the elapsed time to coordinatorTimeout, so that
         // the agents still take turns.
-        coordinatorHeardAt_ = std::max(coordinatorHeardAt_, BootClock::now() - options_.coordinatorTimeout);
+        coordinatorLastReceivedAt_ = std::max(coordinatorLastReceivedAt_, BootClock::now() - options_.coordinatorTimeout);
     }
     const bool hasChanged = !before || isRelevantToSwitch(*before, state);
     readHeldExpertsIfChanged();
-    claimTermIfSilent();
+    claimTermIfCoordinatorUnresponsive();
     const BootTime now = BootClock::now();
     if (now < countsReadAt_ + options_.pollInterval) {
         if (hasChanged) {
@@ -341,7 +341,7 @@
         reportedExperts_ = {};
         sendReport();
     }
-    coordinatorHeardAt_ = BootClock::now();
+    coordinatorLastReceivedAt_ = BootClock::now();
     followedCoordinator_ = command.coordinator > 0 ? Coordinator::Predecessor{.term = term_, .rank = command.coordinator - 1} : Coordinator::Predecessor{};
     const auto order = toOrder(command, knownMaps_);
     if (!order) {
@@ -432,14 +432,14 @@
                       }));
 }
 
-void GroupTaskImpl::claimTermIfSilent()
+void GroupTaskImpl::claimTermIfCoordinatorUnresponsive()
 {
     const BootTime now = BootClock::now();
-    if (coordinator_ != nullptr || isClaiming_ || !state_->isOpen || now - coordinatorHeardAt_ < claimDelay()) {
+    if (coordinator_ != nullptr || isClaiming_ || !state_->isOpen || now - coordinatorLastReceivedAt_ < claimDelay()) {
         return;
     }
     isClaiming_ = true;
-    coordinatorHeardAt_ = now;
+    coordinatorLastReceivedAt_ = now;
     store_.readCoordinator(state_->group, guarded<Result<CoordinatorRow>>([this](Result<CoordinatorRow> row) {
                                isClaiming_ = false;
                                if (row) {
@@ -486,7 +486,7 @@
         Coordinator::Callbacks{.sendToOwnEngine = [this](const RankOrder &order) { executeOrder(order); },
                                .onSuperseded =
                                    [this] {
-                                       coordinatorHeardAt_ = BootClock::now();
+                                       coordinatorLastReceivedAt_ = BootClock::now();
                                        resignTimer_.start(Duration(0)); // The coordinator must not be destroyed inside its own callback.
                                    }});
     sendReport();
--- a/libs/group/tests/armedstateprovertest.cpp
+++ b/libs/group/tests/armedstateprovertest.cpp
@@ -31,7 +31,7 @@
     ArmedStateProverFixture()
     {
         for (std::uint32_t rank = 0; rank < Ranks; ++rank) {
-            records.push_back({.orderedVersion = version, .isFresh = true, .peerArm = {}, .map = version - 1});
+            records.push_back({.orderedVersion = version, .isFresh = true, .peerArm = {}, .mapVersion = version - 1});
         }
     }
 
@@ -89,14 +89,14 @@
     records[3].peerArm->version = version - 1;
     BOOST_TEST(prove().has_value());
     for (SwitchRecord &record : records) {
-        record.map = version - 2; // That switch never completed.
+        record.mapVersion = version - 2; // That switch never completed.
     }
     BOOST_TEST(!prove().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(agent_restartedOrNotReported_nothingIsProven)
 {
-    records[2] = {.orderedVersion = 0, .isFresh = false, .peerArm = {}, .map = version - 1};
+    records[2] = {.orderedVersion = 0, .isFresh = false, .peerArm = {}, .mapVersion = version - 1};
     BOOST_TEST(!prove().has_value());
     records[2] = records[0];
     unreported = 0;
@@ -109,7 +109,7 @@
     records[2].isFresh = false;
     BOOST_TEST(!prove().has_value());
     for (SwitchRecord &record : records) {
-        record = {.orderedVersion = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .map = 0};
+        record = {.orderedVersion = versionOf(Term - 1, 3), .isFresh = true, .peerArm = {}, .mapVersion = 0};
     }
     BOOST_TEST(!prove().has_value());
 }
--- a/libs/group/tests/groupsimulation.h
+++ b/libs/group/tests/groupsimulation.h
@@ -75,8 +75,8 @@
             update(current_);
             break;
         case 4:
-            if (rival_ && randomInt(0, 1) == 0) {
-                update(*rival_);
+            if (replacedCoordinator_ && randomInt(0, 1) == 0) {
+                update(*replacedCoordinator_);
             }
             break;
         case 5:
@@ -107,7 +107,7 @@
         options_.delayedShare = 0;
         options_.duplicatedShare = 0;
         delayed_.clear();
-        rival_.reset();
+        replacedCoordinator_.reset();
         frozen_.reset();
         isRecovering_ = true;
         const std::uint64_t before = step_;
@@ -199,7 +199,7 @@
         const std::uint32_t predecessorAt = current_.at;
         const std::uint64_t predecessorTerm = current_.term;
         if (current_.term > 0) {
-            rival_ = current_; // The previous coordinator does not notice its replacement and stays active.
+            replacedCoordinator_ = current_; // The previous coordinator does not notice its replacement and stays active.
         }
         ++terms_;
         const std::uint64_t versions = options_.mutant == Mutant::ReusedVersions ? 1 : terms_;
@@ -267,9 +267,10 @@
         if (agentTerms_[rank] == current_.term) {
             deliverReport(current_, rank);
         }
-        const bool isHeardByRival = options_.mutant == Mutant::IgnoresTerms || (rival_ && agentTerms_[rank] == rival_->term);
-        if (rival_ && isHeardByRival) {
-            deliverReport(*rival_, rank);
+        const bool followsReplacedCoordinator =
+            options_.mutant == Mutant::IgnoresTerms || (replacedCoordinator_ && agentTerms_[rank] == replacedCoordinator_->term);
+        if (replacedCoordinator_ && followsReplacedCoordinator) {
+            deliverReport(*replacedCoordinator_, rank);
         }
     }
 
@@ -284,7 +285,7 @@
             coordinator.prover.reset();
         }
         SwitchRecord record = records_[rank];
-        record.map = engines_[rank].map;
+        record.mapVersion = engines_[rank].map;
         coordinator.prover.recordSwitch(rank, record);
         coordinator.change.onPrepareAcknowledged(rank, record.orderedVersion);
         coordinator.reportedAt[rank] = now_;
@@ -515,7 +516,7 @@
     std::uint64_t proofs_ = 0;
     std::uint64_t terms_ = 0;
     Coordinator current_{.term = 0, .change = MapSwitch(MapSwitch::Options{})};
-    std::optional<Coordinator> rival_;
+    std::optional<Coordinator> replacedCoordinator_;
     std::vector<DelayedOrder> delayed_;
     std::uint64_t switches_ = 0;
     bool isRecovering_ = false; ///< No further switch is started.
--- a/libs/routing/include/routing/quarantine.h
+++ b/libs/routing/include/routing/quarantine.h
@@ -30,7 +30,7 @@
  * complete answer clears a request of all its reports. A request that was answered recently is not reported at all, so that a common request is not
  * suspected while endpoints crash for other reasons.
  *
- * A request with as many reports as the limit is quarantined from its last crash on, and the time doubles with each further report. Instances share
+ * A request with as many reports as the threshold is quarantined from its last crash on, and the time doubles with each further report. Instances share
  * reports and answers; each decides on what it knows. Lives as long as its entry's task. Not thread-safe.
  *
  * @code
@@ -44,7 +44,7 @@
 public:
     struct Options {
         std::size_t reportThreshold = 2; ///< Number of reports at which a request is quarantined.
-        Duration initialQuarantineTime{600000}; ///< Duration of the first quarantine; reports of requests below the limit expire after it.
+        Duration initialQuarantineTime{600000}; ///< Duration of the first quarantine; reports of requests below the threshold expire after it.
         Duration maxQuarantineTime{86400000};
         Duration answerRetention{60000}; ///< A request that was answered within this time is not reported.
         std::size_t maxAnswered = 20000; ///< Requests remembered as answered, in each of two generations.
